--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -16,46 +16,46 @@
 	"github.com/poststand/poststand/mirror"
 )
 
-// Step is one naming of a version.
-type Step struct {
+// TargetChange is one naming of a version.
+type TargetChange struct {
 	Version uint64
-	Named   time.Time // Not before it, as far as this process knows.
+	SetAt   time.Time // Not before it, as far as this process knows.
 }
 
-// Wanted is what was named for a model's weights.
-type Wanted struct {
-	Version uint64 // The newest.
-	Steps   []Step // The last ones, in their order.
+// Target is what was named for a model's weights.
+type Target struct {
+	Version uint64         // The newest.
+	Changes []TargetChange // The last ones, in their order.
 }
 
-// KeptSteps bounds the steps that a Wanted remembers.
-const KeptSteps = 32
+// MaxChanges bounds the steps that a Wanted remembers.
+const MaxChanges = 32
 
 // With returns w with one more step. Of too many, the oldest two become one that is as old
 // as the first: what either overtook must get no more time. When the oldest of eight was
 // forgotten, 333 requests began on a version whose time was over, on a day with 12 namings
 // 0.7 s apart.
-func (w Wanted) With(s Step) Wanted {
-	steps := append(slices.Clone(w.Steps), s)
+func (w Target) With(s TargetChange) Target {
+	steps := append(slices.Clone(w.Changes), s)
 	for i := range steps {
 		// Those before it were named before it. One that is heard of late, without a proof of
 		// its time, else looks younger than what overtook it: a gateway took one for 5.5 s old
 		// and the next for 11.8, and let requests begin on the version before 14 s after it.
-		steps[i].Named = times.Earlier(steps[i].Named, s.Named)
+		steps[i].SetAt = times.Earlier(steps[i].SetAt, s.SetAt)
 	}
-	if len(steps) > KeptSteps {
-		steps[1].Named = steps[0].Named
+	if len(steps) > MaxChanges {
+		steps[1].SetAt = steps[0].SetAt
 		steps = steps[1:]
 	}
-	return Wanted{Version: max(w.Version, s.Version), Steps: steps}
+	return Target{Version: max(w.Version, s.Version), Changes: steps}
 }
 
-// Overtaken returns when the first version newer than v was named, or zero if
+// SupersededAt returns when the first version newer than v was named, or zero if
 // none was.
-func (w Wanted) Overtaken(v uint64) time.Time {
-	for _, s := range w.Steps {
+func (w Target) SupersededAt(v uint64) time.Time {
+	for _, s := range w.Changes {
 		if s.Version > v {
-			return s.Named
+			return s.SetAt
 		}
 	}
 	return time.Time{}
@@ -63,16 +63,16 @@
 
 // Catalog is one snapshot. Nothing in it changes once it is published.
 type Catalog struct {
-	At        mirror.Position // Of the published records.
+	Position  mirror.Position // Of the published records.
 	Version   uint64          // Of the configuration.
 	Config    *config.Config  // Nil until one is known.
 	Routing   *config.Routing // Of Config.
 	Upstreams map[string]fleet.Upstream
-	Wanted    map[string]Wanted // By model.
+	Targets   map[string]Target // By model.
 }
 
-// Of returns the upstreams of a service, in no order.
-func (c *Catalog) Of(service string) []fleet.Upstream {
+// UpstreamsOf returns the upstreams of a service, in no order.
+func (c *Catalog) UpstreamsOf(service string) []fleet.Upstream {
 	var out []fleet.Upstream
 	for _, u := range c.Upstreams {
 		if u.Service == service {
@@ -134,7 +134,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.init()
-	if c.At < h.now.At || c.Version < h.now.Version {
+	if c.Position < h.now.Position || c.Version < h.now.Version {
 		panic("catalog: a version fell")
 	}
 	h.now = c
--- a/catalog/replaced_test.go
+++ b/catalog/replaced_test.go
@@ -13,10 +13,10 @@
 func TestDropReplaced(t *testing.T) {
 	is := is.New(t)
 	c := &Catalog{Upstreams: map[string]fleet.Upstream{
-		"crashed": {Life: fleet.Life{ID: "crashed"}, Addr: "10.0.0.1:80", ListedAt: 7},
-		"newer":   {Life: fleet.Life{ID: "newer"}, Addr: "10.0.0.1:80", ListedAt: 9},
-		"ended":   {Life: fleet.Life{ID: "ended"}, Addr: "10.0.0.1:80", ListedAt: 3, Leaving: true},
-		"other":   {Life: fleet.Life{ID: "other"}, Addr: "10.0.0.2:80", ListedAt: 1},
+		"crashed": {Incarnation: fleet.Incarnation{ID: "crashed"}, Addr: "10.0.0.1:80", ListedAt: 7},
+		"newer":   {Incarnation: fleet.Incarnation{ID: "newer"}, Addr: "10.0.0.1:80", ListedAt: 9},
+		"ended":   {Incarnation: fleet.Incarnation{ID: "ended"}, Addr: "10.0.0.1:80", ListedAt: 3, Leaving: true},
+		"other":   {Incarnation: fleet.Incarnation{ID: "other"}, Addr: "10.0.0.2:80", ListedAt: 1},
 	}}
 	c.DropReplaced()
 	is.Equal(len(c.Upstreams), 2)
--- a/catalog/steps_test.go
+++ b/catalog/steps_test.go
@@ -16,15 +16,15 @@
 func TestManyNamingsGiveAVersionNoMoreTime(t *testing.T) {
 	const apart = 500 * time.Millisecond
 	began := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	for _, namings := range []int{1, 2, KeptSteps, KeptSteps + 1, 2 * KeptSteps, 4 * KeptSteps} {
+	for _, namings := range []int{1, 2, MaxChanges, MaxChanges + 1, 2 * MaxChanges, 4 * MaxChanges} {
 		is := is.New(t)
-		var w Wanted
+		var w Target
 		for i := range namings {
-			w = w.With(Step{Version: uint64(2 + i), Named: began.Add(time.Duration(i) * apart)})
+			w = w.With(TargetChange{Version: uint64(2 + i), SetAt: began.Add(time.Duration(i) * apart)})
 		}
 		is.Equal(w.Version, uint64(1+namings))
-		is.Equal(w.Overtaken(1), began) // The first naming, however many follow.
-		is.Equal(w.Overtaken(w.Version), time.Time{})
+		is.Equal(w.SupersededAt(1), began) // The first naming, however many follow.
+		is.Equal(w.SupersededAt(w.Version), time.Time{})
 	}
 }
 
@@ -33,12 +33,12 @@
 func TestNamingIsNoYoungerThanThoseAfterIt(t *testing.T) {
 	is := is.New(t)
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
-	var w Wanted
-	for _, s := range []Step{{1, at(0)}, {2, at(30)}, {3, at(24)}, {4, at(31)}} {
+	var w Target
+	for _, s := range []TargetChange{{1, at(0)}, {2, at(30)}, {3, at(24)}, {4, at(31)}} {
 		w = w.With(s)
 	}
-	is.Equal(w.Overtaken(0), at(0))
-	is.Equal(w.Overtaken(1), at(24))
-	is.Equal(w.Overtaken(2), at(24))
-	is.Equal(w.Overtaken(3), at(31))
+	is.Equal(w.SupersededAt(0), at(0))
+	is.Equal(w.SupersededAt(1), at(24))
+	is.Equal(w.SupersededAt(2), at(24))
+	is.Equal(w.SupersededAt(3), at(31))
 }
--- a/cmd/poststand-load/way.go
+++ b/cmd/poststand-load/way.go
@@ -23,22 +23,22 @@
 			w := c.OutOrStdout()
 			for _, kind := range []struct {
 				name string
-				draw func(seed uint64) way.Plan
+				draw func(seed uint64) way.Scenario
 				n    int
-			}{{"no_faults", way.Scarce, max(1, plans/10)}, {"random", way.Random, max(1, plans)}} {
-				var ps []way.Plan
+			}{{"no_faults", way.ScarceOrigin, max(1, plans/10)}, {"random", way.RandomScenario, max(1, plans)}} {
+				var ps []way.Scenario
 				for i := range kind.n {
 					ps = append(ps, kind.draw(first+uint64(i)))
 				}
-				played := way.Sweep(ps)
+				played := way.RunAll(ps)
 				if each {
 					for _, p := range played {
-						fmt.Fprintf(w, "ratio=%.3f all=%s half=%s bound=%s fetched=%d failed=%d %s\n", p.Ratio(), p.All, p.Half, p.Bound, p.Fetched, p.Failed, p.Plan.String())
+						fmt.Fprintf(w, "ratio=%.3f all=%s half=%s bound=%s fetched=%d failed=%d %s\n", p.Ratio(), p.Last, p.Median, p.LowerBound, p.OriginChunks, p.OriginFailures, p.Scenario.String())
 					}
 				}
 				s := way.Summarize(played)
 				fmt.Fprintf(w, "plans=%s plays=%d median=%.3f most95=%.3f most=%.3f extra=%.4f across=%.3f failed=%.0f worst_seed=%d\n",
-					kind.name, s.Plays, s.Median, s.Most95, s.Most, s.Extra, s.Across, s.Failed, s.Worst.Plan.Seed)
+					kind.name, s.Runs, s.Median, s.P95, s.Max, s.ExtraCopies, s.CrossHallCopies, s.FailuresPerRun, s.Worst.Scenario.Seed)
 			}
 			return nil
 		},
--- a/cmd/poststand/cmd/relay.go
+++ b/cmd/poststand/cmd/relay.go
@@ -31,8 +31,8 @@
 			if err != nil {
 				return err
 			}
-			t := &platform.Translator{Bad: badRecord}
-			g, err := relay.New(s, relay.Options{Dialect: platform.Dialect, Follow: follow(s.Store), Catalog: t.Catalog, Keeps: platform.Keeps, Outlasts: platform.Outlasts})
+			t := &platform.Translator{OnInvalid: badRecord}
+			g, err := relay.New(s, relay.Options{Headers: platform.Dialect, Follower: follow(s.Store), BuildCatalog: t.Catalog, Keeps: platform.KeepsHistory, Outlasts: platform.Precedence})
 			if err != nil {
 				return err
 			}
@@ -69,8 +69,8 @@
 
 // follow reads the platform's store at an address.
 func follow(addr string) *peers.Follower {
-	s := &platform.Store{Addr: addr, HTTP: platformClient(), NewEra: newEra}
-	return &peers.Follower{Whole: s.Whole, Watch: s.Watch, Newest: s.Newest}
+	s := &platform.Store{Addr: addr, HTTP: platformClient(), OnNewEra: newEra}
+	return &peers.Follower{ReadAll: s.Whole, Watch: s.Watch, Newest: s.Newest}
 }
 
 func newEra(era, before uint64, path string, status int) {
--- a/cmd/poststand/cmd/stager.go
+++ b/cmd/poststand/cmd/stager.go
@@ -25,9 +25,9 @@
 			if err != nil {
 				return err
 			}
-			t := &platform.Translator{Bad: badRecord}
+			t := &platform.Translator{OnInvalid: badRecord}
 			st, err := stager.New(s, stager.Options{
-				Replica: replica(s.Replica), Origin: origin(originClient()), Follow: follow(s.Store), Catalog: t.Catalog, Keeps: platform.Keeps, Outlasts: platform.Outlasts,
+				Replica: replica(s.Replica), Origin: origin(originClient()), Platform: follow(s.Store), Catalog: t.Catalog, KeepsHistory: platform.KeepsHistory, Outlasts: platform.Precedence,
 			})
 			if err != nil {
 				return err
@@ -50,7 +50,7 @@
 
 func replica(addr string) stager.Replica {
 	r := &platform.Replica{Addr: addr, HTTP: platformClient()}
-	return stager.Replica{Report: r.Report, Order: r.Order, Stage: r.Stage, Staged: r.Staged, ReadStaged: r.ReadStaged}
+	return stager.Replica{Report: r.Report, Order: r.Order, Stage: r.Stage, ListStaged: r.Staged, ReadStaged: r.ReadStaged}
 }
 
 // originClient speaks to the origin of weights, which takes few connections in all:
--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -58,8 +58,8 @@
 	a.wake()
 }
 
-// Break ends an answer that is not whole.
-func (a *Answer) Break(err error) {
+// Fail ends an answer that is not whole.
+func (a *Answer) Fail(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.err = err
--- a/dispatch/expiry.go
+++ b/dispatch/expiry.go
@@ -18,11 +18,11 @@
 		g.records = map[RequestID]*Record{}
 		g.keys = map[string]*Record{}
 	}
-	for len(g.expiry) > 0 && g.expiry[0].Until.Before(g.latest) {
+	for len(g.expiry) > 0 && g.expiry[0].ExpiresAt.Before(g.latest) {
 		r := g.expiry[0]
 		if r.State == Running {
 			// Still running past its deadline: it must not be forgotten.
-			r.Until = g.latest.Add(time.Second)
+			r.ExpiresAt = g.latest.Add(time.Second)
 			heap.Fix(&g.expiry, 0)
 			continue
 		}
@@ -54,7 +54,7 @@
 type expiryHeap []*Record
 
 func (h expiryHeap) Len() int           { return len(h) }
-func (h expiryHeap) Less(i, j int) bool { return h[i].Until.Before(h[j].Until) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].ExpiresAt.Before(h[j].ExpiresAt) }
 func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
--- a/dispatch/gate.go
+++ b/dispatch/gate.go
@@ -22,20 +22,20 @@
 
 // Record is what a Gate remembers of one request until Until has passed.
 type Record struct {
-	ID       RequestID
-	Dispatch *Dispatch
-	State    State
-	Until    time.Time     // When it may be forgotten.
-	Settled  chan struct{} // Closed when State leaves Queued.
-	Reason   fault.Code    // Why it was dropped.
-	Answer   *Answer       // What was answered so far; nil for a fence.
-	key      string
-	order    uint64
+	ID        RequestID
+	Dispatch  *Dispatch
+	State     State
+	ExpiresAt time.Time     // When it may be forgotten.
+	Dequeued  chan struct{} // Closed when State leaves Queued.
+	Reason    fault.Code    // Why it was dropped.
+	Answer    *Answer       // What was answered so far; nil for a fence.
+	key       string
+	order     uint64
 }
 
-// Home is what an agent knows of being the home of an idempotency key.
-type Home struct {
-	Is         bool      // The key's home by this agent's view.
+// KeyHome is what an agent knows of being the home of an idempotency key.
+type KeyHome struct {
+	IsHome     bool      // The key's home by this agent's view.
 	Since      time.Time // The home without a break, by one incarnation, since then.
 	FreshUntil time.Time // The view is vouched for until then.
 }
@@ -43,13 +43,13 @@
 // Gate admits requests to one box. Set the exported fields before first use.
 // Methods are safe for use by many goroutines.
 type Gate struct {
-	Incarnation uint64
-	Slots       int           // Requests that run at once; 8 by default.
-	Queue       int           // Requests that wait; 16 by default.
-	MaxRecords  int           // Requests remembered; 65536 by default.
-	MaxDeadline time.Duration // The furthest deadline; 5 minutes by default.
-	KeyWindow   time.Duration // How long a key is remembered; 3 minutes by default.
-	MaxKept     int           // Bytes of answers kept; 32 MiB by default.
+	Incarnation    uint64
+	Slots          int           // Requests that run at once; 8 by default.
+	Queue          int           // Requests that wait; 16 by default.
+	MaxRecords     int           // Requests remembered; 65536 by default.
+	MaxDeadline    time.Duration // The furthest deadline; 5 minutes by default.
+	KeyWindow      time.Duration // How long a key is remembered; 3 minutes by default.
+	MaxAnswerBytes int           // Bytes of answers kept; 32 MiB by default.
 
 	mu       sync.Mutex
 	latest   time.Time // The clock as seen here never goes back.
@@ -88,7 +88,7 @@
 		return
 	}
 	r.State, r.Reason = to, why
-	close(r.Settled)
+	close(r.Dequeued)
 	for i, w := range g.waiting {
 		if w == r {
 			g.waiting = append(g.waiting[:i], g.waiting[i+1:]...)
@@ -105,8 +105,8 @@
 	g.service, g.digest, g.open = service, digest, true
 }
 
-// Shut refuses new requests and drops those that wait, all as not run.
-func (g *Gate) Shut() {
+// Close refuses new requests and drops those that wait, all as not run.
+func (g *Gate) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.open = false
@@ -144,7 +144,7 @@
 // has not run here and, for any reason but fault.Duplicate, never will under
 // this id. The bool is true when the record is an earlier request with the same
 // key, whose answer is to be followed.
-func (g *Gate) Admit(now time.Time, d *Dispatch, home Home) (*Record, bool, error) {
+func (g *Gate) Admit(now time.Time, d *Dispatch, home KeyHome) (*Record, bool, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now = g.clock(now)
@@ -181,7 +181,7 @@
 	if len(g.records) >= 2*orDefault(g.MaxRecords, defaultMaxRecords) {
 		return false
 	}
-	r := &Record{ID: id, State: Dropped, Until: deadline}
+	r := &Record{ID: id, State: Dropped, ExpiresAt: deadline}
 	g.records[id] = r
 	heap.Push(&g.expiry, r)
 	return true
@@ -212,14 +212,14 @@
 	return nil
 }
 
-func (g *Gate) checkKey(now time.Time, d *Dispatch, home Home) (*Record, error) {
+func (g *Gate) checkKey(now time.Time, d *Dispatch, home KeyHome) (*Record, error) {
 	if r, ok := g.keys[d.Key]; ok {
 		if r.Dispatch.KeyDigest != d.KeyDigest {
 			return nil, fault.New(fault.KeyReused, "")
 		}
 		return r, nil
 	}
-	if !home.Is {
+	if !home.IsHome {
 		return nil, fault.New(fault.NotHome, "")
 	}
 	if !d.Unsafe {
@@ -269,12 +269,12 @@
 func (g *Gate) insert(d *Dispatch) *Record {
 	g.order++
 	r := &Record{
-		ID: d.ID, Dispatch: d, Until: d.Deadline, Settled: make(chan struct{}),
+		ID: d.ID, Dispatch: d, ExpiresAt: d.Deadline, Dequeued: make(chan struct{}),
 		Answer: &Answer{}, key: d.Key, order: g.order,
 	}
 	if d.Key != "" {
 		g.keys[d.Key] = r
-		r.Until = later(d.Deadline, g.latest.Add(g.keyWindow()))
+		r.ExpiresAt = later(d.Deadline, g.latest.Add(g.keyWindow()))
 	}
 	g.records[d.ID] = r
 	heap.Push(&g.expiry, r)
@@ -314,7 +314,7 @@
 	}
 	r.State = Finished
 	g.running--
-	if size := r.Answer.size(); g.kept+size <= orDefault(g.MaxKept, defaultMaxKept) {
+	if size := r.Answer.size(); g.kept+size <= orDefault(g.MaxAnswerBytes, defaultMaxKept) {
 		g.kept += size
 		r.Answer.keep()
 	} else {
--- a/dispatch/gate_test.go
+++ b/dispatch/gate_test.go
@@ -30,8 +30,8 @@
 }
 
 // fakeHome is a home that vouches for itself in full.
-func fakeHome(now time.Time) Home {
-	return Home{Is: true, Since: now.Add(-time.Hour), FreshUntil: now.Add(time.Hour)}
+func fakeHome(now time.Time) KeyHome {
+	return KeyHome{IsHome: true, Since: now.Add(-time.Hour), FreshUntil: now.Add(time.Hour)}
 }
 
 func TestAdmitRefuses(t *testing.T) {
@@ -39,7 +39,7 @@
 	cases := []struct {
 		name string
 		make func(g *Gate) *Dispatch
-		home Home
+		home KeyHome
 		want fault.Code
 	}{
 		{name: "another incarnation", make: func(*Gate) *Dispatch { d := ask(1, later); d.Incarnation = 2; return d }, want: fault.WrongIncarnation},
@@ -48,29 +48,29 @@
 		{name: "past its deadline", make: func(*Gate) *Dispatch { return ask(1, epoch) }, want: fault.PastDeadline},
 		{name: "a deadline too far", make: func(*Gate) *Dispatch { return ask(1, epoch.Add(time.Hour)) }, want: fault.BadRequest},
 		{name: "while draining", make: func(g *Gate) *Dispatch { g.Drain(); return ask(1, later) }, want: fault.Draining},
-		{name: "while shut", make: func(g *Gate) *Dispatch { g.Shut(); return ask(1, later) }, want: fault.NotReady},
+		{name: "while shut", make: func(g *Gate) *Dispatch { g.Close(); return ask(1, later) }, want: fault.NotReady},
 		{name: "voided before it came", make: func(g *Gate) *Dispatch {
 			g.Void(epoch, &Void{ID: id(1), Incarnation: 1, Deadline: later})
 			return ask(1, later)
 		}, want: fault.Fenced},
 		{name: "a second copy of its frame", make: func(g *Gate) *Dispatch {
-			_, _, _ = g.Admit(epoch, ask(1, later), Home{})
+			_, _, _ = g.Admit(epoch, ask(1, later), KeyHome{})
 			return ask(1, later)
 		}, want: fault.Duplicate},
 		{name: "more than slots and queue", make: func(g *Gate) *Dispatch {
 			for n := 2; n < 6; n++ {
-				_, _, _ = g.Admit(epoch, ask(n, later), Home{})
+				_, _, _ = g.Admit(epoch, ask(n, later), KeyHome{})
 			}
 			return ask(1, later)
 		}, want: fault.QueueFull},
 		{name: "a key that has another home", make: func(*Gate) *Dispatch { return keyed(1, "k", later) }, want: fault.NotHome},
 		{
 			name: "a key while its home is new", make: func(*Gate) *Dispatch { return keyed(1, "k", later) },
-			home: Home{Is: true, Since: epoch.Add(-time.Second), FreshUntil: later}, want: fault.HomeRecovering,
+			home: KeyHome{IsHome: true, Since: epoch.Add(-time.Second), FreshUntil: later}, want: fault.HomeRecovering,
 		},
 		{
 			name: "a key on an old view", make: func(*Gate) *Dispatch { return keyed(1, "k", later) },
-			home: Home{Is: true, FreshUntil: epoch.Add(-time.Second)}, want: fault.ViewExpired,
+			home: KeyHome{IsHome: true, FreshUntil: epoch.Add(-time.Second)}, want: fault.ViewExpired,
 		},
 		{name: "a key used for another request", make: func(g *Gate) *Dispatch {
 			_, _, _ = g.Admit(epoch, keyed(2, "k", later), fakeHome(epoch))
@@ -100,11 +100,11 @@
 func TestRefusedFrameStaysRefused(t *testing.T) {
 	is := is.New(t)
 	g := openGate()
-	g.Shut()
-	_, _, err := g.Admit(epoch, ask(1, epoch.Add(time.Second)), Home{})
+	g.Close()
+	_, _, err := g.Admit(epoch, ask(1, epoch.Add(time.Second)), KeyHome{})
 	is.Equal(fault.CodeOf(err), fault.NotReady)
 	g.Open("s", "d1")
-	_, _, err = g.Admit(epoch, ask(1, epoch.Add(time.Second)), Home{})
+	_, _, err = g.Admit(epoch, ask(1, epoch.Add(time.Second)), KeyHome{})
 	is.Equal(fault.CodeOf(err), fault.Fenced)
 }
 
@@ -115,7 +115,7 @@
 	deadline := epoch.Add(time.Second)
 	is.Equal(g.Void(epoch, &Void{ID: id(1), Incarnation: 1, Deadline: deadline}), VoidFenced)
 	_, _ = g.Find(epoch.Add(2*time.Second), id(9)) // The fence expires.
-	_, _, err := g.Admit(epoch, ask(1, deadline), Home{})
+	_, _, err := g.Admit(epoch, ask(1, deadline), KeyHome{})
 	is.Equal(fault.CodeOf(err), fault.PastDeadline)
 }
 
@@ -209,7 +209,7 @@
 }
 
 func (l *ledger) swap(t *rapid.T) {
-	l.g.Shut()
+	l.g.Close()
 	l.check(t)
 	if l.g.Idle() {
 		l.digest = rapid.SampledFrom([]string{"d1", "d2"}).Draw(t, "to")
@@ -226,7 +226,7 @@
 func (l *ledger) check(t *rapid.T) {
 	for id, r := range l.waiting {
 		select {
-		case <-r.Settled:
+		case <-r.Dequeued:
 		default:
 			continue
 		}
@@ -258,7 +258,7 @@
 	if k, ok := l.keys[key]; ok && l.g.latest.Before(k.until) {
 		t.Fatalf("key %q started twice in its window", key)
 	}
-	l.keys[key] = keyRun{r.ID, r.Until}
+	l.keys[key] = keyRun{r.ID, r.ExpiresAt}
 }
 
 func TestAnswerIsFollowedFromAnyPart(t *testing.T) {
@@ -295,7 +295,7 @@
 	a := &Answer{}
 	a.Begin(&AnswerHead{ID: id(1)})
 	a.Append([]byte("half"))
-	a.Break(fault.New(fault.Truncated, ""))
+	a.Fail(fault.New(fault.Truncated, ""))
 	err := a.Follow(context.Background(), id(1), 0, func(m any, last bool) error {
 		is.True(!last)
 		return nil
@@ -308,13 +308,13 @@
 		d := &Dispatch{Unsafe: rapid.Bool().Draw(t, "unsafe"), Deadline: epoch.Add(time.Second)}
 		d.ID.Attempt = rapid.IntRange(0, 5).Draw(t, "attempt")
 		r := Result{
-			Outcome: rapid.SampledFrom([]Outcome{Unknown, NotRun, Done}).Draw(t, "outcome"),
-			Reason:  rapid.SampledFrom([]fault.Code{fault.QueueFull, fault.Closed, fault.KeyReused, fault.Draining}).Draw(t, "reason"),
-			Begun:   rapid.Bool().Draw(t, "begun"),
+			Outcome:       rapid.SampledFrom([]Outcome{Unknown, NotRun, Done}).Draw(t, "outcome"),
+			Reason:        rapid.SampledFrom([]fault.Code{fault.QueueFull, fault.Closed, fault.KeyReused, fault.Draining}).Draw(t, "reason"),
+			AnswerStarted: rapid.Bool().Draw(t, "begun"),
 		}
 		now := epoch.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 		step, _ := Decide(now, d, r, 4, func(time.Time) bool { return true })
-		if step == TryAnother && (r.Begun || r.Outcome == Unknown && d.Unsafe || !now.Before(d.Deadline) || d.ID.Attempt >= 3) {
+		if step == Retry && (r.AnswerStarted || r.Outcome == Unknown && d.Unsafe || !now.Before(d.Deadline) || d.ID.Attempt >= 3) {
 			t.Fatalf("tried again: %+v after %+v", d, r)
 		}
 		if (step == Deliver) != (r.Outcome == Done) {
--- a/dispatch/message.go
+++ b/dispatch/message.go
@@ -58,13 +58,13 @@
 	Sum string // Digest of the whole body.
 }
 
-// Refused says that a dispatch was not run and never will be, unless Ran says
+// Refusal says that a dispatch was not run and never will be, unless Ran says
 // that it may have.
-type Refused struct {
-	ID      RequestID
-	Reason  fault.Code
-	Ran     bool      // The outcome is Unknown and not NotRun.
-	RetryAt time.Time // When to come back, or zero.
+type Refusal struct {
+	ID         RequestID
+	Reason     fault.Code
+	MayHaveRun bool      // The outcome is Unknown and not NotRun.
+	RetryAt    time.Time // When to come back, or zero.
 }
 
 // Void asks that a request never start.
@@ -139,7 +139,7 @@
 	{Kind: 17, Message: &AnswerHead{}},
 	{Kind: 18, Message: &AnswerData{}},
 	{Kind: 19, Message: &AnswerEnd{}},
-	{Kind: 20, Message: &Refused{}},
+	{Kind: 20, Message: &Refusal{}},
 	{Kind: 21, Message: &Void{}},
 	{Kind: 22, Message: &VoidReply{}},
 	{Kind: 23, Message: &Attach{}},
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -30,20 +30,20 @@
 
 // Result is an outcome with its reason.
 type Result struct {
-	Outcome Outcome
-	Reason  fault.Code
-	RetryAt time.Time // When the refusing side suggests to come back, or zero.
-	Begun   bool      // Parts of the answer have already gone to the caller.
+	Outcome       Outcome
+	Reason        fault.Code
+	RetryAt       time.Time // When the refusing side suggests to come back, or zero.
+	AnswerStarted bool      // Parts of the answer have already gone to the caller.
 }
 
-// Trail is what all attempts at one request amount to. The zero value has none.
-type Trail struct {
+// Attempts is what all attempts at one request amount to. The zero value has none.
+type Attempts struct {
 	mayHaveRun bool
 }
 
 // Add returns an attempt's result as it stands for the whole request: once an
 // attempt may have run, no later one can make the request "not run".
-func (t *Trail) Add(r Result) Result {
+func (t *Attempts) Add(r Result) Result {
 	t.mayHaveRun = t.mayHaveRun || r.Outcome == Unknown
 	if t.mayHaveRun && r.Outcome == NotRun {
 		r.Outcome = Unknown
@@ -58,7 +58,7 @@
 const (
 	GiveUp Step = iota // Tell the caller the outcome at once.
 	Deliver
-	TryAnother
+	Retry
 )
 
 // Budget says whether a retry may be spent now.
@@ -72,7 +72,7 @@
 	if r.Outcome == Done {
 		return Deliver, ""
 	}
-	if r.Begun || (r.Outcome == Unknown && d.Unsafe) {
+	if r.AnswerStarted || (r.Outcome == Unknown && d.Unsafe) {
 		return GiveUp, r.Reason
 	}
 	if !retryable(r.Reason) {
@@ -87,7 +87,7 @@
 	if !spend(now) {
 		return GiveUp, fault.RetryBudget
 	}
-	return TryAnother, ""
+	return Retry, ""
 }
 
 // retryable reports whether another box could do better. A keyed request has
--- a/fleet/upstream.go
+++ b/fleet/upstream.go
@@ -2,25 +2,27 @@
 
 import "github.com/poststand/poststand/mirror"
 
-// Life is one life of a replica: a restart begins another one, most often under another ID.
+// Incarnation is one life of a replica: a restart begins another one, most often under another ID.
 // All that is believed of a replica is believed of one life of it.
-type Life struct {
+type Incarnation struct {
 	ID   string
 	Born int64 // When it began, in Unix milliseconds by the replica's clock; 0 where that is not told.
 }
 
-// Same reports whether l and o may be one life: one whose birth is not told may be any of its
+// Matches reports whether l and o may be one life: one whose birth is not told may be any of its
 // ID.
-func (l Life) Same(o Life) bool {
+func (l Incarnation) Matches(o Incarnation) bool {
 	return l.ID == o.ID && (l.Born == o.Born || l.Born == 0 || o.Born == 0)
 }
 
 // Before reports whether l is a life of the same replica that ended before o began.
-func (l Life) Before(o Life) bool { return l.ID == o.ID && !l.Same(o) && l.Born < o.Born }
+func (l Incarnation) Before(o Incarnation) bool {
+	return l.ID == o.ID && !l.Matches(o) && l.Born < o.Born
+}
 
 // Upstream is one replica of a service as the platform lists it.
 type Upstream struct {
-	Life
+	Incarnation
 	Service string
 	Addr    string // IP and port for requests.
 	Hall    string
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -117,8 +117,8 @@
 }
 
 func (a *Agent) pool(o wire.Options) *wire.Pool {
-	o.Count = func(c fault.Code) { a.Metrics.Event("connection", string(c)) }
-	o.Traffic = func(sent, received int) {
+	o.OnFault = func(c fault.Code) { a.Metrics.Event("connection", string(c)) }
+	o.OnTraffic = func(sent, received int) {
 		a.Metrics.Bytes("control_sent", sent)
 		a.Metrics.Bytes("control_received", received)
 	}
@@ -127,13 +127,13 @@
 
 func (a *Agent) newExchange(o Options) *weights.Exchange {
 	s := a.Settings
-	p := a.pool(wire.Options{WriteRing: 8})
-	p.Options.Traffic, p.Dial = nil, o.Dial
+	p := a.pool(wire.Options{WriteQueue: 8})
+	p.Options.OnTraffic, p.Dial = nil, o.Dial
 	return &weights.Exchange{
 		Self:  weights.Member{Name: s.Box, Hall: s.Hall, Addr: s.Listen},
-		Store: &weights.Store{Limit: s.Memory}, Pool: p, Strategy: strategies[s.Strategy], Part: weightsPart,
-		FromOrigin: (&weights.OriginClient{URL: s.Origin, HTTP: o.Origin}).Get,
-		Pace:       a.pace, Event: a.weightsEvent,
+		Store: &weights.Store{Limit: s.Memory}, Pool: p, Strategy: strategies[s.Strategy], PartBytes: weightsPart,
+		FetchOrigin: (&weights.OriginClient{URL: s.Origin, HTTP: o.Origin}).Get,
+		Pace:        a.pace, Event: a.weightsEvent,
 	}
 }
 
@@ -171,13 +171,13 @@
 	var k kernel.Kernel
 	a.Duties(&k)
 	k.Add("peers", srv, func(ctx context.Context) error { return srv.Serve(ctx, ln) })
-	k.Duty(func(ctx context.Context) error {
+	k.AddTask(func(ctx context.Context) error {
 		return telemetry.ServeHTTP(ctx, source, &http.Server{Handler: a.Source()})
 	})
-	k.Duty(func(ctx context.Context) error {
+	k.AddTask(func(ctx context.Context) error {
 		return telemetry.ServeHTTP(ctx, admin, &http.Server{Handler: a.admin().Handler()})
 	})
-	k.Duty(func(own context.Context) error { return a.drain(ctx, own) })
+	k.AddTask(func(own context.Context) error { return a.drain(ctx, own) })
 	telemetry.Log("agent_started", "box", a.Settings.Box, "hall", a.Settings.Hall, "incarnation", a.gate.Incarnation)
 	defer a.Close()
 	return k.Run(context.Background())
--- a/internal/agent/home.go
+++ b/internal/agent/home.go
@@ -78,19 +78,19 @@
 }
 
 // of says what box knows of being the home of a dispatch's key.
-func (h *homes) of(box string, d *dispatch.Dispatch, v *view.View) dispatch.Home {
+func (h *homes) of(box string, d *dispatch.Dispatch, v *view.View) dispatch.KeyHome {
 	if d.Key == "" {
-		return dispatch.Home{}
+		return dispatch.KeyHome{}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	past := h.history[d.Service]
-	home := dispatch.Home{FreshUntil: v.FreshUntil, Since: time.Now()}
+	home := dispatch.KeyHome{FreshUntil: v.FreshUntil, Since: time.Now()}
 	for i := len(past) - 1; i >= 0; i-- {
 		if rendezvous.First(d.Key, past[i].boxes) != box {
 			break
 		}
-		home.Is, home.Since = true, past[i].since
+		home.IsHome, home.Since = true, past[i].since
 	}
 	return home
 }
--- a/internal/agent/loader.go
+++ b/internal/agent/loader.go
@@ -146,11 +146,11 @@
 	ctx, cancel := context.WithCancel(ctx)
 	const firstCopy = 1.1 // A first copy, with what faults may add to it.
 	t := &weights.Transfer{
-		Exchange: l.agent.exchange, Artifact: digest, Window: w.Window, Copies: w.OriginCopies,
+		Exchange: l.agent.exchange, Artifact: digest, Window: w.Window, OriginCopies: w.OriginCopies,
 		Members: func() []weights.Member { return members(l.agent.holder.Get(), digest) },
 	}
 	if w.Policy == config.PolicyTime {
-		t.Spare = max(0, w.OriginCopies-firstCopy)
+		t.SpareCopies = max(0, w.OriginCopies-firstCopy)
 	}
 	go func() {
 		if err := t.Run(ctx); err != nil && ctx.Err() == nil {
@@ -175,7 +175,7 @@
 func (l *loader) step(ctx context.Context, v *view.View, t target) bool {
 	switch {
 	case t.Service == "":
-		l.agent.gate.Shut()
+		l.agent.gate.Close()
 		l.setLoaded(target{})
 		l.say("not_placed")
 		return true
@@ -279,7 +279,7 @@
 func (l *loader) reload(ctx context.Context, t target) bool {
 	a := l.agent
 	l.say("reloading")
-	a.gate.Shut()
+	a.gate.Close()
 	a.changed.notify()
 	const look = 5 * time.Millisecond
 	for !a.gate.Idle() {
@@ -323,7 +323,7 @@
 		return
 	}
 	l.agent.Metrics.Failed("engine_changed", err)
-	l.agent.gate.Shut()
+	l.agent.gate.Close()
 	l.setLoaded(target{})
 	l.say("engine_changed")
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -28,14 +28,14 @@
 
 // run takes a record from the queue to its end.
 func (a *Agent) run(ctx context.Context, rec *dispatch.Record) {
-	<-rec.Settled
+	<-rec.Dequeued
 	if rec.Reason != "" {
 		return
 	}
 	err := a.execute(ctx, rec)
 	if err != nil {
 		a.Metrics.Failed("run_failed", err)
-		rec.Answer.Break(err)
+		rec.Answer.Fail(err)
 	}
 	a.gate.Finish(time.Now(), rec)
 }
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -46,7 +46,7 @@
 // follow sends the answer of a record as it grows.
 func (a *Agent) follow(ctx context.Context, s *wire.Stream, id dispatch.RequestID, rec *dispatch.Record, from int) {
 	select {
-	case <-rec.Settled:
+	case <-rec.Dequeued:
 	case <-ctx.Done():
 		return
 	}
@@ -61,14 +61,14 @@
 		return s.Send(ctx, m)
 	})
 	if err != nil && ctx.Err() == nil {
-		_ = s.SendLast(ctx, &dispatch.Refused{ID: id, Reason: fault.CodeOf(err), Ran: true})
+		_ = s.SendLast(ctx, &dispatch.Refusal{ID: id, Reason: fault.CodeOf(err), MayHaveRun: true})
 	}
 }
 
 func (a *Agent) refuse(ctx context.Context, s *wire.Stream, id dispatch.RequestID, err error) {
 	code := fault.CodeOf(err)
 	a.Metrics.Refused(code)
-	r := &dispatch.Refused{ID: id, Reason: code, Ran: code == fault.Duplicate || code == fault.OutcomeUnknown}
+	r := &dispatch.Refusal{ID: id, Reason: code, MayHaveRun: code == fault.Duplicate || code == fault.OutcomeUnknown}
 	switch code {
 	case fault.HomeRecovering:
 		r.RetryAt = a.started.Add(a.homes.keyWindow())
@@ -87,7 +87,7 @@
 func (a *Agent) serveAttach(ctx context.Context, s *wire.Stream, m *dispatch.Attach) {
 	rec, ok := a.gate.Find(time.Now(), m.ID)
 	if m.Incarnation != a.gate.Incarnation || !ok {
-		_ = s.SendLast(ctx, &dispatch.Refused{ID: m.ID, Reason: fault.OutcomeUnknown, Ran: true})
+		_ = s.SendLast(ctx, &dispatch.Refusal{ID: m.ID, Reason: fault.OutcomeUnknown, MayHaveRun: true})
 		return
 	}
 	a.Metrics.Event("attach", "")
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -135,7 +135,7 @@
 // connectionIdle is an end's processor time for a connection that only pings,
 // once a second, as gateways do.
 func connectionIdle(t *testing.T, n int) float64 {
-	connect(t, n, nil, wire.Options{PingEvery: time.Second})
+	connect(t, n, nil, wire.Options{PingInterval: time.Second})
 	time.Sleep(200 * time.Millisecond)
 	const over = 4 * time.Second
 	began := cpu()
@@ -154,7 +154,7 @@
 	}
 	r.Sync(boxes)
 	for i := range n {
-		r.Heard(now, boxName(i), dispatch.Report{Incarnation: 1, Service: "s", Digest: "d", Ready: true, Slots: 8, At: now})
+		r.UpdateReport(now, boxName(i), dispatch.Report{Incarnation: 1, Service: "s", Digest: "d", Ready: true, Slots: 8, At: now})
 	}
 	return r, now
 }
@@ -164,7 +164,7 @@
 	i := 0
 	return each(20000, func() {
 		i++
-		r.Heard(now, boxName(i%n), dispatch.Report{Incarnation: 1, Service: "s", Digest: "d", Ready: true, Slots: 8, At: now})
+		r.UpdateReport(now, boxName(i%n), dispatch.Report{Incarnation: 1, Service: "s", Digest: "d", Ready: true, Slots: 8, At: now})
 	})
 }
 
@@ -173,7 +173,7 @@
 	return each(2000, func() {
 		u, err := r.Pick(now, route.Query{Service: "s", Digest: "d", Prefix: "prefix"})
 		if err == nil {
-			r.Done(now, u.Box.Name, 1, route.Ended{FirstData: time.Millisecond})
+			r.Done(now, u.Box.Name, 1, route.DispatchResult{FirstData: time.Millisecond})
 		}
 	})
 }
@@ -200,7 +200,7 @@
 		_, _, _ = g.Admit(now, &dispatch.Dispatch{
 			ID: dispatch.RequestID{Seq: uint64(i)}, Incarnation: 1, Service: "s", Digest: "d",
 			Deadline: now.Add(time.Minute), Body: make([]byte, 512),
-		}, dispatch.Home{})
+		}, dispatch.KeyHome{})
 	}
 	m := heap() - before
 	runtime.KeepAlive(g)
@@ -271,8 +271,8 @@
 		names = append(names, boxName(i))
 	}
 	p := &weights.Plan{
-		Self: boxName(0), Strategy: weights.Swarm, Chunks: chunks, Begin: time.Now(),
-		Inject: time.Minute, PerChunk: 100 * time.Millisecond,
+		Self: boxName(0), Strategy: weights.Swarm, Chunks: chunks, StartAt: time.Now(),
+		OriginCopyTime: time.Minute, ChunkTime: 100 * time.Millisecond,
 	}
 	p.Init(nil, names)
 	return p
@@ -295,7 +295,7 @@
 	return each(50, func() {
 		todo, _ := p.Next(now)
 		for _, a := range todo {
-			p.Fetched(now, a.Chunk, a.From, "stalled")
+			p.FetchEnded(now, a.Chunk, a.From, "stalled")
 		}
 		now = now.Add(time.Minute)
 	}) / 1000 / 8
@@ -319,7 +319,7 @@
 		}
 		_ = s.SendLast(ctx, &dispatch.AnswerEnd{})
 	})
-	c := connect(t, 1, h, wire.Options{StreamRing: n + 2})[0]
+	c := connect(t, 1, h, wire.Options{StreamBuffer: n + 2})[0]
 	s, err := c.Open(t.Context(), &dispatch.Attach{From: n})
 	if err != nil {
 		t.Fatal(err)
@@ -344,7 +344,7 @@
 	g := &dispatch.Gate{Incarnation: 1, Slots: 64, Queue: 64, MaxRecords: n}
 	g.Open("s", "d")
 	wire.On(h, func(ctx context.Context, s *wire.Stream, d *dispatch.Dispatch) {
-		r, _, err := g.Admit(time.Now(), d, dispatch.Home{})
+		r, _, err := g.Admit(time.Now(), d, dispatch.KeyHome{})
 		if err != nil {
 			_ = s.Fail(ctx, err)
 			return
@@ -381,7 +381,7 @@
 			Running: 8, Queued: 3, Slots: 16, At: time.Now(),
 		})
 	})
-	c := connect(t, 1, h, wire.Options{Traffic: func(_, n int) { received.Add(int64(n)) }})[0]
+	c := connect(t, 1, h, wire.Options{OnTraffic: func(_, n int) { received.Add(int64(n)) }})[0]
 	before := received.Load()
 	if _, err := c.Call(t.Context(), &dispatch.StateRequest{}); err != nil {
 		t.Fatal(err)
--- a/internal/direct/copies_test.go
+++ b/internal/direct/copies_test.go
@@ -27,7 +27,7 @@
 	if !w.sleep(lasts) {
 		return
 	}
-	lost := w.store.FallBack(min(w.store.ChangesSince(time.Now().Add(-age)), int(w.store.Revision())-1))
+	lost := w.store.RestoreFromBackup(min(w.store.ChangesSince(time.Now().Add(-age)), int(w.store.Revision())-1))
 	w.store.Refuse(0)
 	slices.Sort(lost)
 	lost = slices.Compact(lost)
@@ -65,7 +65,7 @@
 			continue
 		}
 		entry := e.Record()
-		if e.Leaves() {
+		if e.IsLeaving() {
 			entry["state"] = "draining"
 		}
 		w.store.Put(key, entry)
--- a/internal/direct/fatal_test.go
+++ b/internal/direct/fatal_test.go
@@ -38,7 +38,7 @@
 }
 
 // fatal ends a box's replica under a fatal request; it is back a while later.
-func (w *world) fatal(b *box, x platformtest.Begin) bool {
+func (w *world) fatal(b *box, x platformtest.EngineRun) bool {
 	if !strings.HasPrefix(x.Target, fatalTarget) {
 		return false
 	}
@@ -71,9 +71,9 @@
 }
 
 // beganFatal is told of a request that a gateway in touch sent on and that began.
-func (j *judge) beganFatal(b platformtest.Begin) {
+func (j *judge) beganFatal(b platformtest.EngineRun) {
 	ends := j.fatal.ends[b.Target]
-	if len(ends) < fatalEnds || b.Came.Sub(ends[fatalEnds-1]) <= contact {
+	if len(ends) < fatalEnds || b.ArrivedAt.Sub(ends[fatalEnds-1]) <= contact {
 		return
 	}
 	j.fatal.late[b.Target]++
--- a/internal/direct/judge_test.go
+++ b/internal/direct/judge_test.go
@@ -91,7 +91,7 @@
 }
 
 // began is told of each request that a replica began to work on.
-func (j *judge) began(b platformtest.Begin) {
+func (j *judge) began(b platformtest.EngineRun) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.total++
@@ -99,7 +99,7 @@
 	if once(b.Target) && j.begins[b.ID] > 1 {
 		j.breaks("unsafe request %s ran %d times", b.ID, j.begins[b.ID])
 	}
-	if !j.inTouch(b.Sender, b.Came) {
+	if !j.inTouch(b.Sender, b.ArrivedAt) {
 		return
 	}
 	j.beganFatal(b)
@@ -107,13 +107,13 @@
 		if v.version <= b.Version {
 			continue
 		}
-		calm := j.calm(v.at, b.At)
+		calm := j.calm(v.at, b.FirstTokenAt)
 		if calm > j.old {
-			j.old, j.oldAt = calm, fmt.Sprintf("%s at %s by %s on %s, sent %s", b.Target, j.since(b.At), b.Sender, b.Engine, j.since(b.Came))
+			j.old, j.oldAt = calm, fmt.Sprintf("%s at %s by %s on %s, sent %s", b.Target, j.since(b.FirstTokenAt), b.Sender, b.Engine, j.since(b.ArrivedAt))
 		}
 		if calm > versionWithin {
 			j.breaks("VERSION %s (%s) began on %d, %v (calm %v) after %d was named at %s; sent %s by %s to %s, sender in touch until then: %v",
-				b.ID, b.Target, b.Version, b.At.Sub(v.at), calm, v.version, j.since(v.at), j.since(b.Came), b.Sender, b.Engine, j.inTouch(b.Sender, b.At))
+				b.ID, b.Target, b.Version, b.FirstTokenAt.Sub(v.at), calm, v.version, j.since(v.at), j.since(b.ArrivedAt), b.Sender, b.Engine, j.inTouch(b.Sender, b.FirstTokenAt))
 		}
 		return
 	}
--- a/internal/direct/limits_test.go
+++ b/internal/direct/limits_test.go
@@ -29,12 +29,12 @@
 func (w *world) limits(r *rand.Rand, e *platformtest.Engine) {
 	for range 1 + r.IntN(3) {
 		v := []float64{0, 0.3, 1.3, 1.7, 3, 6}[r.IntN(6)]
-		e.SayLimit(fmt.Sprint(v))
+		e.AnnounceLimit(fmt.Sprint(v))
 		if !w.sleep(between(r, 500*time.Millisecond, 12*time.Second)) {
 			return
 		}
 	}
-	e.SayLimit()
+	e.AnnounceLimit()
 }
 
 // Replicas name limits among faults of all kinds: the gateways that were told hold each
@@ -54,13 +54,13 @@
 		check := is.New(t)
 		w := newWorld(t, rand.New(rand.NewPCG(1, 1)))
 		e := w.boxes[0].engine
-		e.SayLimit("0")
+		e.AnnounceLimit("0")
 		var got tally
 		time.AfterFunc(time.Second, func() { w.call(0.5, &got) })
 		w.sleep(6 * time.Second)
 		w.name(2)
 		w.sleep(14 * time.Second)
-		holds, over := e.Holds(), e.OverLimit(nil)
+		holds, over := e.LoadedVersion(), e.OverLimit(nil)
 		w.close()
 		check.Equal(holds, uint64(2))
 		check.Equal(over, nil)
--- a/internal/direct/look_test.go
+++ b/internal/direct/look_test.go
@@ -6,7 +6,7 @@
 	for _, b := range w.boxes {
 		b.mu.Lock()
 		if b.engine != nil {
-			out[b.engine.Holds()]++
+			out[b.engine.LoadedVersion()]++
 		}
 		b.mu.Unlock()
 	}
@@ -17,7 +17,7 @@
 func (w *world) deaf() (out []string) {
 	for _, b := range w.boxes {
 		b.mu.Lock()
-		if b.engine != nil && b.engine.Deaf {
+		if b.engine != nil && b.engine.IgnoresDisconnect {
 			out = append(out, b.replica())
 		}
 		b.mu.Unlock()
--- a/internal/direct/process_test.go
+++ b/internal/direct/process_test.go
@@ -30,14 +30,14 @@
 			GraceFor: 8 * time.Second, VersionWithin: versionWithin, ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second,
 			RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 30,
 		},
-	}, relay.Options{Dialect: platform.Dialect, Catalog: t.Catalog, Keeps: platform.Keeps, Outlasts: platform.Outlasts, Follow: f, Dial: w.dialer(g.addr)})
+	}, relay.Options{Headers: platform.Dialect, BuildCatalog: t.Catalog, Keeps: platform.KeepsHistory, Outlasts: platform.Precedence, Follower: f, Dial: w.dialer(g.addr)})
 	if err != nil {
 		w.t.Error(err)
 		return
 	}
-	w.net.Add(&simnet.End{Name: g.addr, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: r.Server().One})
+	w.net.Add(&simnet.End{Name: g.addr, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: r.Server().ServeConn})
 	var k kernel.Kernel
-	r.Duties(&k)
+	r.AddTasks(&k)
 	end := w.run(&k, g.addr, r.Close)
 	life, over := context.WithCancel(w.ctx)
 	g.relay, g.life = r, life
@@ -91,7 +91,7 @@
 		StagerBounds: settings.StagerBounds{VersionWithin: versionWithin, Link: linkMega},
 		Replica:      b.replica(), Service: "llm",
 	}, stager.Options{
-		Replica: stager.Replica{Report: rep.Report, Order: rep.Order, Stage: rep.Stage, Staged: rep.Staged, ReadStaged: rep.ReadStaged},
+		Replica: stager.Replica{Report: rep.Report, Order: rep.Order, Stage: rep.Stage, ListStaged: rep.Staged, ReadStaged: rep.ReadStaged},
 		Origin: stager.Origin{
 			Manifest: func(ctx context.Context, addr, model string, version uint64) (*weights.Manifest, error) {
 				return (&platform.Origin{Addr: addr, HTTP: from}).Manifest(ctx, model, version)
@@ -100,15 +100,15 @@
 				return (&platform.Origin{Addr: addr, HTTP: from}).Piece(ctx, model, version, piece)
 			},
 		},
-		Follow: f, Catalog: t.Catalog, Keeps: platform.Keeps, Outlasts: platform.Outlasts, Dial: w.dialer(b.agent()),
+		Platform: f, Catalog: t.Catalog, KeepsHistory: platform.KeepsHistory, Outlasts: platform.Precedence, Dial: w.dialer(b.agent()),
 	})
 	if err != nil {
 		w.t.Error(err)
 		return
 	}
-	w.net.Add(&simnet.End{Name: b.agent(), Up: b.up, Down: b.down, Serve: st.Server().One})
+	w.net.Add(&simnet.End{Name: b.agent(), Up: b.up, Down: b.down, Serve: st.Server().ServeConn})
 	var k kernel.Kernel
-	st.Duties(&k)
+	st.AddTasks(&k)
 	b.end = w.run(&k, b.agent(), st.Close)
 }
 
@@ -139,9 +139,9 @@
 	w.net.Add(&simnet.End{Name: b.replica(), Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: platformtest.Serve(e)})
 	w.store.Put("servers/"+e.ID, e.Record())
 	go func() {
-		told := e.Holds()
+		told := e.LoadedVersion()
 		for w.sleep(beat) && b.runs(e) {
-			if v := e.Holds(); v != told {
+			if v := e.LoadedVersion(); v != told {
 				told = v
 				w.store.Put("servers/"+e.ID, e.Record())
 			}
--- a/internal/direct/returned_test.go
+++ b/internal/direct/returned_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// A gateway that stood still for longer than Follower.Doubt, from before a naming, dates
+// A gateway that stood still for longer than Follower.MaxAssumedAge, from before a naming, dates
 // what it then reads Doubt ago, which is later than it was made. The others know better,
 // and must not take its word: they were in touch all the time.
 func TestNamingReadLaterThanDoubt(t *testing.T) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// A gateway that starts later than Follower.Doubt after a naming may use the older version
+// A gateway that starts later than Follower.MaxAssumedAge after a naming may use the older version
 // for a while. What it takes the naming to be of must not reach the others, which pull all
 // records from it where they are behind by anything.
 func TestStartLaterThanDoubt(t *testing.T) {
--- a/internal/direct/usual_test.go
+++ b/internal/direct/usual_test.go
@@ -16,13 +16,13 @@
 	var mu sync.Mutex
 	last := map[string]time.Time{}
 	for _, b := range w.boxes {
-		began := b.engine.Began
-		b.engine.Began = func(x platformtest.Begin) {
+		began := b.engine.OnRun
+		b.engine.OnRun = func(x platformtest.EngineRun) {
 			began(x)
 			mu.Lock()
 			defer mu.Unlock()
 			if x.Version == version {
-				last[x.Sender] = x.At
+				last[x.Sender] = x.FirstTokenAt
 			}
 		}
 	}
--- a/internal/direct/words_test.go
+++ b/internal/direct/words_test.go
@@ -80,10 +80,10 @@
 		b.mu.Lock()
 		if e := b.engine; e != nil && h.Get("X-Replica-Signature") == "sig-"+e.ID {
 			if leaves {
-				e.Said(g.addr)
+				e.RecordLeaving(g.addr)
 			}
 			if limits {
-				e.SaidLimit(g.addr)
+				e.RecordLimit(g.addr)
 			}
 		}
 		b.mu.Unlock()
@@ -95,8 +95,8 @@
 func (j *judge) heardAll(e *platformtest.Engine) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, u := range e.Unheard() {
-		if !j.awayBetween(u.Sender, u.Told, u.At) {
+	for _, u := range e.Violations() {
+		if !j.awayBetween(u.Sender, u.NotifiedAt, u.At) {
 			j.breaks("%s: %s", e.ID, u)
 		}
 	}
--- a/internal/direct/world_test.go
+++ b/internal/direct/world_test.go
@@ -46,7 +46,7 @@
 	originAddr   = "origin:1"
 )
 
-var sizes = platformtest.Weights{Pieces: 16, Bytes: 48 << 10}
+var sizes = platformtest.Weights{Pieces: 16, PieceBytes: 48 << 10}
 
 // world is a deployment: gateways and agents of real code before stand-ins of the rest.
 type world struct {
@@ -100,10 +100,10 @@
 			b := &box{name: fmt.Sprintf("10.%d.0.%d", h, i+1), hall: hall, up: &simnet.Link{Rate: linkRate}, down: &simnet.Link{Rate: linkRate}}
 			w.boxes = append(w.boxes, b)
 			e := &platformtest.Engine{
-				Addr: b.replica(), Hall: hall, Slots: slots, Room: room, Weights: sizes, Warm: 300 * time.Millisecond,
-				Deaf: r.IntN(5) == 0, Began: w.judge.began,
+				Addr: b.replica(), Hall: hall, Slots: slots, QueueLimit: room, Weights: sizes, LoadTime: 300 * time.Millisecond,
+				IgnoresDisconnect: r.IntN(5) == 0, OnRun: w.judge.began,
 			}
-			e.Crashes = func(x platformtest.Begin) bool { return w.fatal(b, x) }
+			e.CrashOn = func(x platformtest.EngineRun) bool { return w.fatal(b, x) }
 			e.ID = b.nextID()
 			e.Start(1)
 			w.addEngine(b, e)
@@ -146,7 +146,7 @@
 		platformtest.Route("unsafe", "/plain/unsafe/", "unsafe", "llm", slow),
 	)
 	e := c["services"].([]platformtest.Body)[0]["engine"].(platformtest.Body)
-	e["slots"], e["chunks"], e["chunk_bytes"] = slots, sizes.Pieces, sizes.Bytes
+	e["slots"], e["chunks"], e["chunk_bytes"] = slots, sizes.Pieces, sizes.PieceBytes
 	return c
 }
 
@@ -187,7 +187,7 @@
 
 func (w *world) follower(from string) (*peers.Follower, *platform.Translator) {
 	s := &platform.Store{Addr: storeAddr, HTTP: w.client(from, true)}
-	return &peers.Follower{Whole: s.Whole, Watch: s.Watch, Newest: s.Newest}, &platform.Translator{}
+	return &peers.Follower{ReadAll: s.Whole, Watch: s.Watch, Newest: s.Newest}, &platform.Translator{}
 }
 
 // seeds are the gateways that processes ask first.
--- a/internal/feed/cluster_test.go
+++ b/internal/feed/cluster_test.go
@@ -115,7 +115,7 @@
 		Join:     []string{"gw-000", "gw-001", "gw-002"},
 		Platform: &feed.Platform{URL: "http://platform", Client: &http.Client{Transport: &direct{c: c, hall: b.Hall}}},
 		Pool: &wire.Pool{
-			Local: hello, Codec: clusterCodec, Handlers: hs, Lifetime: ctx, Options: wire.Options{Traffic: count},
+			Local: hello, Codec: clusterCodec, Handlers: hs, Lifetime: ctx, Options: wire.Options{OnTraffic: count},
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) { return c.net.Dial(ctx, name, addr) },
 		},
 		Event: func(what string, code fault.Code) {
@@ -125,9 +125,9 @@
 		},
 	}
 	feed.Serve(hs, p.holder, p.feed.FreshFor)
-	srv := &wire.Server{Local: hello, Codec: clusterCodec, Handlers: hs, Options: wire.Options{Traffic: count}}
+	srv := &wire.Server{Local: hello, Codec: clusterCodec, Handlers: hs, Options: wire.Options{OnTraffic: count}}
 	c.net.Add(&simnet.End{Name: name, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: func(_ context.Context, nc net.Conn) {
-		srv.One(ctx, nc)
+		srv.ServeConn(ctx, nc)
 	}})
 	c.mu.Lock()
 	c.procs[name] = p
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -17,7 +17,7 @@
 // alive tells the router that the upstream gives signs of life.
 func (a *attempt) alive() {
 	if a.box != "" {
-		a.gateway.router.Alive(time.Now(), a.box)
+		a.gateway.router.RecordActivity(time.Now(), a.box)
 	}
 }
 
@@ -102,7 +102,7 @@
 }
 
 func (a *attempt) result(o dispatch.Outcome, why fault.Code) dispatch.Result {
-	return dispatch.Result{Outcome: o, Reason: why, Begun: a.sink.shown()}
+	return dispatch.Result{Outcome: o, Reason: why, AnswerStarted: a.sink.shown()}
 }
 
 // errSink is the type of a failure to pass the answer to the caller.
@@ -120,9 +120,9 @@
 			return dispatch.Result{}, err
 		}
 		switch m := m.(type) {
-		case *dispatch.Refused:
+		case *dispatch.Refusal:
 			r := a.result(dispatch.NotRun, m.Reason)
-			if m.Ran || a.begun {
+			if m.MayHaveRun || a.begun {
 				r.Outcome = dispatch.Unknown
 			}
 			r.RetryAt = m.RetryAt
@@ -197,7 +197,7 @@
 	}
 	ask, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
-	c, err := a.gateway.pool.Fresh(ask, a.addr)
+	c, err := a.gateway.pool.DialNew(ask, a.addr)
 	if fault.Is(err, fault.Unreachable) {
 		return nil, a.result(dispatch.Unknown, fault.Unreachable) // It says more than how the connection ended.
 	}
--- a/internal/gateway/forward.go
+++ b/internal/gateway/forward.go
@@ -33,8 +33,8 @@
 	g.Metrics.Event("forwarded_here", "")
 	id := d.ID
 	fail := func(res dispatch.Result) {
-		_ = s.SendLast(ctx, &dispatch.Refused{
-			ID: id, Reason: res.Reason, Ran: res.Outcome != dispatch.NotRun, RetryAt: res.RetryAt,
+		_ = s.SendLast(ctx, &dispatch.Refusal{
+			ID: id, Reason: res.Reason, MayHaveRun: res.Outcome != dispatch.NotRun, RetryAt: res.RetryAt,
 		})
 	}
 	rq, err := g.newRequest(*d)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,7 +36,7 @@
 	pool        *wire.Pool
 	router      route.Router
 	rollout     route.Rollout
-	budget      limit.Budget
+	budget      limit.RetryBudget
 	life        context.Context
 	end         context.CancelFunc
 	draining    atomic.Bool
@@ -94,9 +94,9 @@
 
 func (g *Gateway) options() wire.Options {
 	return wire.Options{
-		Pings: g.pingEvery,
-		Count: func(c fault.Code) { g.Metrics.Event("connection", string(c)) },
-		Traffic: func(sent, received int) {
+		PingIntervalFor: g.pingEvery,
+		OnFault:         func(c fault.Code) { g.Metrics.Event("connection", string(c)) },
+		OnTraffic: func(sent, received int) {
 			g.Metrics.Bytes("sent", sent)
 			g.Metrics.Bytes("received", received)
 		},
@@ -143,7 +143,7 @@
 	var k kernel.Kernel
 	g.Duties(&k)
 	k.Add("peers", peers, func(ctx context.Context) error { return peers.Serve(ctx, lns[0]) })
-	k.Duty(func(ctx context.Context) error {
+	k.AddTask(func(ctx context.Context) error {
 		return telemetry.ServeHTTP(ctx, lns[1], &http.Server{Handler: g.admin().Handler()})
 	})
 	k.Add("callers", callers, func(own context.Context) error { return g.serveCallers(ctx, own, callers, lns[2]) })
@@ -204,8 +204,8 @@
 	q, ok := g.queues[service]
 	if !ok {
 		q = &limit.Queue{
-			Running: func() int { return g.capacity(service) },
-			Waiting: func() int { return g.holder.Get().Config.Limits.Queue },
+			MaxRunning: func() int { return g.capacity(service) },
+			MaxWaiting: func() int { return g.holder.Get().Config.Limits.Queue },
 		}
 		g.queues[service] = q
 	}
@@ -219,7 +219,7 @@
 	const least, assumedSlots = 2, 8
 	slots := g.router.Slots(time.Now(), service)
 	if slots > 0 {
-		return max(least, int(route.Ahead*float64(slots)/float64(g.gatewaysHere())))
+		return max(least, int(route.MaxInFlightPerSlot*float64(slots)/float64(g.gatewaysHere())))
 	}
 	v := g.holder.Get()
 	for hall, n := range v.Config.Services[service].Replicas {
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -33,12 +33,12 @@
 	org := rq.view.Config.Organisations[rq.d.Organisation]
 	gateways := len(rq.view.Gateways(""))
 	r := g.rate(rq.d.Organisation)
-	if at, err := r.Take(time.Now(), limit.Split(org.Rate, org.InFlight, gateways)); err != nil {
+	if at, err := r.Acquire(time.Now(), limit.Split(org.Rate, org.InFlight, gateways)); err != nil {
 		return refused(err, at)
 	}
-	defer r.Give()
-	g.budget.Request(time.Now(), rq.view.Config.Limits.RetryPercent)
-	release, err := g.queue(rq.d.Service).Acquire(ctx, limit.Ticket{
+	defer r.Release()
+	g.budget.RecordRequest(time.Now(), rq.view.Config.Limits.RetryPercent)
+	release, err := g.queue(rq.d.Service).Acquire(ctx, limit.Request{
 		Organisation: rq.d.Organisation, Weight: org.Weight, Priority: rq.d.Priority, Deadline: rq.d.Deadline,
 	})
 	if err != nil {
@@ -57,13 +57,13 @@
 func (g *Gateway) comeBack(rq *request) time.Time {
 	const each = 500 * time.Millisecond
 	running, waiting := g.queue(rq.d.Service).Load()
-	return limit.ComeBack(time.Now(), each*time.Duration(waiting)/time.Duration(max(1, running)))
+	return limit.RetryTime(time.Now(), each*time.Duration(waiting)/time.Duration(max(1, running)))
 }
 
 // tryAll dispatches until the outcome is final.
 func (g *Gateway) tryAll(ctx context.Context, rq *request, out *sink) dispatch.Result {
 	tried := map[string]bool{}
-	var trail dispatch.Trail
+	var trail dispatch.Attempts
 	for {
 		res := trail.Add(g.tryOne(ctx, rq, tried, out))
 		now := time.Now()
@@ -125,7 +125,7 @@
 
 // learn tells the router how an attempt went.
 func (g *Gateway) learn(u route.Upstream, a *attempt, began time.Time, res dispatch.Result) {
-	e := route.Ended{}
+	e := route.DispatchResult{}
 	if !a.firstAt.IsZero() {
 		e.FirstData = a.firstAt.Sub(began)
 		g.Metrics.FirstData(e.FirstData.Seconds())
@@ -135,7 +135,7 @@
 	case fault.Unreachable, fault.Closed, fault.Stalled, fault.UpstreamFailed, fault.Truncated, fault.MixedVersion, fault.Timeout:
 		e.Failed = true
 	default:
-		g.router.Refused(u.Box.Name, u.Report.Incarnation, res.Reason)
+		g.router.RecordRefusal(u.Box.Name, u.Report.Incarnation, res.Reason)
 	}
 	g.router.Done(time.Now(), u.Box.Name, u.Report.Incarnation, e)
 }
@@ -145,9 +145,9 @@
 	if rq.service.Kind == config.KindPlain {
 		return ""
 	}
-	return g.rollout.Version(time.Now(), route.Wanted{
+	return g.rollout.Version(time.Now(), route.Target{
 		Service: rq.d.Service, Digest: rq.view.Config.Wanted(rq.service),
-		Revision: rq.view.Revision(), AtLeast: rq.service.ReadyBeforeTraffic,
+		Revision: rq.view.Revision(), MinReady: rq.service.ReadyBeforeTraffic,
 	}, &g.router)
 }
 
--- a/internal/gateway/subscribe.go
+++ b/internal/gateway/subscribe.go
@@ -13,7 +13,7 @@
 // subscribe keeps the router's table and a subscription with each agent that
 // the placement names in this hall.
 func (g *Gateway) subscribe(ctx context.Context) error {
-	var open kernel.Each[fleet.Box]
+	var open kernel.WorkerSet[fleet.Box]
 	defer open.Stop()
 	for {
 		v, changed := g.holder.Watch()
@@ -43,7 +43,7 @@
 		if g.reports(ctx, b) {
 			wait = first
 		}
-		g.router.Lost(b.Name)
+		g.router.MarkDisconnected(b.Name)
 		timer := time.NewTimer(wait)
 		select {
 		case <-timer.C:
@@ -70,6 +70,6 @@
 		if err != nil || !ok {
 			return some
 		}
-		g.router.Heard(time.Now(), b.Name, *r)
+		g.router.UpdateReport(time.Now(), b.Name, *r)
 	}
 }
--- a/internal/peers/assign.go
+++ b/internal/peers/assign.go
@@ -23,30 +23,30 @@
 		return nil
 	}
 	a := &Assignment{
-		At: c.At, Model: s.Model, Origin: s.Origin, OriginRate: s.OriginRate,
-		Bytes: s.Engine.Chunks * s.Engine.ChunkBytes,
+		At: c.Position, Model: s.Model, Origin: s.Origin, OriginRate: s.OriginRate,
+		VersionBytes: s.Engine.Chunks * s.Engine.ChunkBytes,
 	}
 	newest := uint64(firstVersion)
-	for _, u := range c.Of(service) {
+	for _, u := range c.UpstreamsOf(service) {
 		newest = max(newest, u.Version)
 		a.Replicas = append(a.Replicas, Replica{Addr: u.Addr, Hall: u.Hall, Version: u.Version, Leaving: u.Leaving})
 	}
 	slices.SortFunc(a.Replicas, func(x, y Replica) int { return strings.Compare(x.Addr, y.Addr) })
 	a.Version = newest
-	if w, ok := c.Wanted[s.Model]; ok && w.Version >= newest {
+	if w, ok := c.Targets[s.Model]; ok && w.Version >= newest {
 		a.Version = w.Version
-		for _, s := range w.Steps {
-			a.Steps = append(a.Steps, Step{Version: s.Version, Age: now.Sub(s.Named), Named: s.Named})
+		for _, s := range w.Changes {
+			a.Steps = append(a.Steps, Step{Version: s.Version, Age: now.Sub(s.SetAt), Named: s.SetAt})
 		}
 	}
 	return a
 }
 
-// Same reports whether two assignments say the same to an agent: how old they
+// SameForAgent reports whether two assignments say the same to an agent: how old they
 // are, and by which revision, is no difference.
-func (a *Assignment) Same(b *Assignment) bool {
+func (a *Assignment) SameForAgent(b *Assignment) bool {
 	return a.Model == b.Model && a.Version == b.Version && a.Origin == b.Origin && a.OriginRate == b.OriginRate &&
-		a.Bytes == b.Bytes && a.Tell == b.Tell && slices.EqualFunc(a.Steps, b.Steps, sameStep) && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Gateways, b.Gateways) &&
+		a.VersionBytes == b.VersionBytes && a.ReportTargets == b.ReportTargets && slices.EqualFunc(a.Steps, b.Steps, sameStep) && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Gateways, b.Gateways) &&
 		slices.EqualFunc(a.Quarantined, b.Quarantined, sameKey)
 }
 
@@ -59,7 +59,7 @@
 	return a.Version == b.Version && a.Named.Sub(b.Named).Abs() < near
 }
 
-// Urgent reports whether b differs from a in more than who else there is.
-func (a *Assignment) Urgent(b *Assignment) bool {
+// UrgentChange reports whether b differs from a in more than who else there is.
+func (a *Assignment) UrgentChange(b *Assignment) bool {
 	return a.Model != b.Model || a.Version != b.Version || a.Origin != b.Origin || len(b.Gateways) == 0
 }
--- a/internal/peers/collect.go
+++ b/internal/peers/collect.go
@@ -26,7 +26,7 @@
 	if len(gateways) <= tellAll {
 		return gateways, 0
 	}
-	here := CollectOrder(hall, gateways)
+	here := CollectorOrder(hall, gateways)
 	there := ranked("collect/far/"+agent, elsewhere(hall, gateways))
 	if len(gateways) <= tellHall {
 		return append(here, there[:min(tellFar, len(there))]...), 0
@@ -40,9 +40,9 @@
 	return known, collectors
 }
 
-// CollectOrder returns the gateways of a hall in the order in which agents of the hall
+// CollectorOrder returns the gateways of a hall in the order in which agents of the hall
 // and gateways of others turn to them.
-func CollectOrder(hall string, gateways []Member) []Member {
+func CollectorOrder(hall string, gateways []Member) []Member {
 	var here []Member
 	for _, g := range gateways {
 		if g.Hall == hall {
--- a/internal/peers/collect_test.go
+++ b/internal/peers/collect_test.go
@@ -41,7 +41,7 @@
 				told[g.Addr]++
 			}
 		}
-		here := len(CollectOrder("h0", gateways))
+		here := len(CollectorOrder("h0", gateways))
 		groups := (agents + agentsEach - 1) / agentsEach
 		if here >= collectors {
 			is.True(len(told) <= collectors*groups)
--- a/internal/peers/doubt_test.go
+++ b/internal/peers/doubt_test.go
@@ -17,7 +17,7 @@
 	const doubt, after = 5500 * time.Millisecond, 7 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		lived := &Follower{Mirror: &mirror.Mirror{}, Doubt: doubt}
+		lived := &Follower{Mirror: &mirror.Mirror{}, MaxAssumedAge: doubt}
 		lived.take(mirror.Delta{Whole: true, At: 1, Records: []mirror.Record{{Key: "other", Rev: 1}}}, time.Now())
 		time.Sleep(100 * time.Millisecond)
 		made := time.Now()
@@ -25,7 +25,7 @@
 		lived.take(mirror.Delta{Whole: true, At: 2, Records: []mirror.Record{{Key: "other", Rev: 1}, naming}}, made)
 		time.Sleep(after)
 
-		started := &Follower{Mirror: &mirror.Mirror{}, Doubt: doubt}
+		started := &Follower{Mirror: &mirror.Mirror{}, MaxAssumedAge: doubt}
 		all := []mirror.Record{{Key: "other", Rev: 3}, naming}
 		started.take(mirror.Delta{Whole: true, At: 3, Records: all}, time.Now())
 
@@ -39,6 +39,6 @@
 		named := rs["named"]
 		is.True(!named.NotBefore.After(made))    // It is no lower bound else.
 		is.True(!named.GapNotBefore.After(made)) // Nor is this.
-		is.True(!named.MadeBy().After(made))
+		is.True(!named.EarliestTime().After(made))
 	})
 }
--- a/internal/peers/ends.go
+++ b/internal/peers/ends.go
@@ -13,13 +13,13 @@
 }
 
 // Valid reports whether the end can be believed.
-func (e *ReplicaEnd) Valid() bool { return e.ID != "" && e.Age >= 0 && e.Age <= OldestWord }
+func (e *ReplicaEnd) Valid() bool { return e.ID != "" && e.Age >= 0 && e.Age <= MaxReportedAge }
 
 // ReplicaEnds tells which replicas ended, whatever ran there.
 type ReplicaEnds struct{ Ends []ReplicaEnd }
 
-// TellEnds tells the gateway at an address which replicas ended. Nothing shows whether it
+// SendReplicaEnds tells the gateway at an address which replicas ended. Nothing shows whether it
 // arrives.
-func (g *Gossip) TellEnds(ctx context.Context, addr string, ends []ReplicaEnd) {
+func (g *Gossip) SendReplicaEnds(ctx context.Context, addr string, ends []ReplicaEnd) {
 	g.tell(ctx, addr, &ReplicaEnds{ends})
 }
--- a/internal/peers/era_test.go
+++ b/internal/peers/era_test.go
@@ -24,7 +24,7 @@
 func (r *recorded) follower() *Follower {
 	return &Follower{
 		Mirror: &mirror.Mirror{}, Event: func(string, fault.Code) {},
-		Whole: func(context.Context) (mirror.Delta, error) {
+		ReadAll: func(context.Context) (mirror.Delta, error) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			return mirror.Delta{Whole: true, At: r.at}, nil
@@ -68,11 +68,11 @@
 		f := r.follower()
 		f.Mirror.Apply(mirror.Delta{Whole: true, At: mirror.NewPosition(2, 7)})
 		f.check(context.Background())
-		is.True(f.Certain().IsZero())
-		is.True(f.Complete().IsZero())
+		is.True(f.CurrentAsOf().IsZero())
+		is.True(f.CompleteAsOf().IsZero())
 		r.at = mirror.NewPosition(2, 7)
 		f.check(context.Background())
-		is.Equal(f.Certain(), time.Now())
+		is.Equal(f.CurrentAsOf(), time.Now())
 		r.at = mirror.NewPosition(3, 5)
 		f.check(context.Background())
 		is.Equal(f.Mirror.At(), mirror.NewPosition(3, 5))
--- a/internal/peers/follow.go
+++ b/internal/peers/follow.go
@@ -17,25 +17,25 @@
 // exported fields before Run.
 type Follower struct {
 	Mirror *mirror.Mirror
-	// Whole reads all records; Watch waits for changes after a revision.
-	Whole func(ctx context.Context) (mirror.Delta, error)
-	Watch func(ctx context.Context, since mirror.Position, wait time.Duration) (mirror.Delta, error)
+	// ReadAll reads all records; Watch waits for changes after a revision.
+	ReadAll func(ctx context.Context) (mirror.Delta, error)
+	Watch   func(ctx context.Context, since mirror.Position, wait time.Duration) (mirror.Delta, error)
 	// Newest reads the position of the service's newest change: a watch may hear nothing while
 	// changes are made.
 	Newest func(ctx context.Context) (mirror.Position, error)
-	// CheckEvery is the time between two checks by one that watches; 250 ms by default.
-	CheckEvery time.Duration
-	Event      func(name string, c fault.Code)
-	// Doubt is how long ago a change is taken to have been made, at the most, that is only
+	// CheckInterval is the time between two checks by one that watches; 250 ms by default.
+	CheckInterval time.Duration
+	Event         func(name string, c fault.Code)
+	// MaxAssumedAge is how long ago a change is taken to have been made, at the most, that is only
 	// found out now, where nothing proves that it is younger.
-	Doubt time.Duration
+	MaxAssumedAge time.Duration
 	// Needed, if set, holds while the platform should be read; a follower that
 	// is not needed looks again after a while.
 	Needed func() bool
 
-	// Yield, if set, returns for how long this process waits for others to tell it before it reads
+	// ReadDelay, if set, returns for how long this process waits for others to tell it before it reads
 	// all records, where its place in the changes is lost.
-	Yield func() time.Duration
+	ReadDelay func() time.Duration
 
 	// Standby, if set, reports whether this process is one of those that would watch if
 	// the one that does were lost: they miss it soonest.
@@ -48,10 +48,10 @@
 	tookAt   mirror.Position // The newest revision that this process has from the platform itself.
 }
 
-// Sure records that the mirror was the newest at a time, by what was heard. What was heard
+// MarkCurrent records that the mirror was the newest at a time, by what was heard. What was heard
 // may have been on its way for a while: this is a hint of when to look again, and nothing is
 // dated by it.
-func (f *Follower) Sure(at time.Time) {
+func (f *Follower) MarkCurrent(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if at.After(f.certain) {
@@ -59,23 +59,23 @@
 	}
 }
 
-// Certain is when the mirror was last known to be the newest.
-func (f *Follower) Certain() time.Time {
+// CurrentAsOf is when the mirror was last known to be the newest.
+func (f *Follower) CurrentAsOf() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.certain
 }
 
-// Proved records that nothing that was made before a time is lacking in the mirror: this
+// MarkComplete records that nothing that was made before a time is lacking in the mirror: this
 // process asked then or later, and what the answer told is here.
-func (f *Follower) Proved(before time.Time) {
+func (f *Follower) MarkComplete(before time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.complete = times.Later(f.complete, before)
 }
 
-// Complete is the time before which nothing was made that the mirror lacks.
-func (f *Follower) Complete() time.Time {
+// CompleteAsOf is the time before which nothing was made that the mirror lacks.
+func (f *Follower) CompleteAsOf() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.complete
@@ -95,9 +95,9 @@
 	f.watching = yes
 }
 
-// TookAt returns the newest revision that this process has from the platform itself, or is
+// PlatformPosition returns the newest revision that this process has from the platform itself, or is
 // about to have.
-func (f *Follower) TookAt() mirror.Position {
+func (f *Follower) PlatformPosition() mirror.Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tookAt
@@ -114,7 +114,7 @@
 // dated returns a delta with the times before which nothing in it was made that the mirror
 // lacks: as is proved, and as far as this process doubts.
 func (f *Follower) dated(d mirror.Delta) mirror.Delta {
-	d.NotBefore, d.Doubted = f.Complete(), time.Now().Add(-f.Doubt)
+	d.NotBefore, d.AssumedNotBefore = f.CompleteAsOf(), time.Now().Add(-f.MaxAssumedAge)
 	return d
 }
 
@@ -122,9 +122,11 @@
 // version that was overtaken it does not know when.
 const settledIn = 2500 * time.Millisecond
 
-// DoubtOf is the Doubt of a process that may use a version for a while after it was
+// MaxAssumedAgeFor is the Doubt of a process that may use a version for a while after it was
 // overtaken.
-func DoubtOf(versionWithin time.Duration) time.Duration { return max(0, versionWithin-settledIn) }
+func MaxAssumedAgeFor(versionWithin time.Duration) time.Duration {
+	return max(0, versionWithin-settledIn)
+}
 
 // Waits of a Follower.
 const (
@@ -235,10 +237,10 @@
 // told waits while it is others' turn to read all records, and reports whether they have told
 // of what followed a position.
 func (f *Follower) told(ctx context.Context, had mirror.Position) bool {
-	if f.Yield == nil {
+	if f.ReadDelay == nil {
 		return false
 	}
-	until := time.Now().Add(f.Yield())
+	until := time.Now().Add(f.ReadDelay())
 	for ctx.Err() == nil && f.Mirror.At() == had && time.Now().Before(until) {
 		kernel.Sleep(ctx, startLook)
 	}
@@ -276,13 +278,13 @@
 	defer cancel()
 	go f.cancelUnneeded(ctx, cancel)
 	asked := time.Now()
-	d, err := f.Whole(ctx)
+	d, err := f.ReadAll(ctx)
 	if err != nil {
 		return err
 	}
 	had := f.Mirror.At()
 	f.take(d, asked)
-	over, key := f.Mirror.PassedOver(d)
+	over, key := f.Mirror.NotApplied(d)
 	telemetry.Log("store_read", "at", d.At, "had", had, "records", len(d.Records), "bytes", d.Bytes(), "passed_over", over, "such_as", key)
 	return nil
 }
@@ -317,22 +319,22 @@
 // take applies what was read rather than told, as asked for at a time.
 func (f *Follower) take(d mirror.Delta, asked time.Time) {
 	f.apply(f.dated(d))
-	f.Sure(time.Now())
-	f.Proved(asked)
+	f.MarkCurrent(time.Now())
+	f.MarkComplete(asked)
 }
 
-// Check compares the mirror with the service's newest revision now and then, and
+// RunChecks compares the mirror with the service's newest revision now and then, and
 // reads all records where the watch did not tell. A process that watches does so at even
 // intervals; the others hear from it how lately the mirror was the newest, and check for
 // themselves when that is long ago. Whoever finds something tells the others.
-func (f *Follower) Check(ctx context.Context) error {
-	every := f.CheckEvery
+func (f *Follower) RunChecks(ctx context.Context) error {
+	every := f.CheckInterval
 	if every == 0 {
 		every = checkEvery
 	}
 	for ctx.Err() == nil {
 		kernel.Sleep(ctx, every/2-every/16+rand.N(every/8))
-		if f.Mirror.At() > 0 && time.Since(f.Certain()) >= f.uncheckedFor(every) {
+		if f.Mirror.At() > 0 && time.Since(f.CurrentAsOf()) >= f.uncheckedFor(every) {
 			f.check(ctx)
 		}
 	}
@@ -358,7 +360,7 @@
 	if err != nil {
 		// The watch may hear nothing either. Others are not kept from watching by it.
 		f.setWatching(false)
-		telemetry.Log("store_check_failed", "reason", fault.CodeOf(err), "at", f.Mirror.At(), "certain", time.Since(f.Certain()))
+		telemetry.Log("store_check_failed", "reason", fault.CodeOf(err), "at", f.Mirror.At(), "certain", time.Since(f.CurrentAsOf()))
 		f.Event("store_check_failed", fault.CodeOf(err))
 		return
 	}
@@ -375,14 +377,14 @@
 		return // It proves nothing of this one.
 	}
 	if at <= had {
-		f.Sure(time.Now())
-		f.Proved(asked)
+		f.MarkCurrent(time.Now())
+		f.MarkComplete(asked)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, wholeIn) // Of its own: records are many on a slow link.
 	defer cancel()
 	asked = time.Now()
-	d, err := f.Whole(ctx)
+	d, err := f.ReadAll(ctx)
 	telemetry.Log("store_watch_behind", "had", had, "newest", at, "read", d.At, "reason", fault.CodeOf(err))
 	if err == nil {
 		f.take(d, asked)
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -56,11 +56,11 @@
 // Gossip keeps the list of gateways and a mirror that is no older than theirs.
 // Set the exported fields before Run.
 type Gossip struct {
-	Self   Member
-	Pool   *wire.Pool
-	Mirror *mirror.Mirror
-	Follow *Follower // Reads the platform itself, now and then.
-	Join   []string  // Addresses to ask before any gateway is known.
+	Self     Member
+	Pool     *wire.Pool
+	Mirror   *mirror.Mirror
+	Follower *Follower // Reads the platform itself, now and then.
+	Join     []string  // Addresses to ask before any gateway is known.
 	// Suspects are told to other gateways, and what they tell is learnt; nil is none.
 	Suspects *quarantine.Table
 
@@ -102,7 +102,7 @@
 // Serve registers the handlers that answer other gateways.
 func (g *Gossip) Serve(hs *wire.Handlers) {
 	g.init()
-	wire.On(hs, func(ctx context.Context, s *wire.Stream, m *Announce) {
+	wire.On(hs, func(ctx context.Context, s *wire.Stream, m *Announcement) {
 		g.heard(m, time.Time{})
 		eras, _ := g.spoken.knows(s.Conn())
 		_ = s.SendLast(ctx, g.announcement(m.From.Addr, len(m.Known) > 0, eras))
@@ -134,9 +134,9 @@
 	return out
 }
 
-// Known returns how many gateways there are by what was heard within a while, this
+// KnownCount returns how many gateways there are by what was heard within a while, this
 // one among them: those that have fallen silent count too.
-func (g *Gossip) Known() int {
+func (g *Gossip) KnownCount() int {
 	g.init()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -149,8 +149,8 @@
 	return n
 }
 
-// Many reports whether there are so many gateways that agents tell only some.
-func (g *Gossip) Many() bool { return g.many.Load() }
+// ManyGateways reports whether there are so many gateways that agents tell only some.
+func (g *Gossip) ManyGateways() bool { return g.many.Load() }
 
 // fresh reports whether a gateway was heard of late. The caller holds g.mu.
 func (g *Gossip) fresh(m *member, now time.Time) bool {
@@ -160,15 +160,15 @@
 
 // announcement tells the gateway at an address of this one and, if others is set, of some
 // others. It names the era if that gateway understands it.
-func (g *Gossip) announcement(to string, others, eras bool) *Announce {
+func (g *Gossip) announcement(to string, others, eras bool) *Announcement {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	a := &Announce{From: g.Self, Watching: g.Follow.Watching()}
-	a.Certain = now.Sub(g.Follow.Certain()) // Before At, so that it is not of an older one.
-	a.Complete = now.Sub(g.Follow.Complete())
+	a := &Announcement{From: g.Self, Watching: g.Follower.Watching()}
+	a.CurrentAge = now.Sub(g.Follower.CurrentAsOf()) // Before At, so that it is not of an older one.
+	a.CompleteAge = now.Sub(g.Follower.CompleteAsOf())
 	a.At = g.Mirror.At()
-	a.Dates = dates(g.Mirror.Kept(now.Add(-datedFor)), now)
+	a.ChangeAges = dates(g.Mirror.WithHistory(now.Add(-datedFor)), now)
 	if !eras {
 		a.withoutEra()
 	}
@@ -181,7 +181,7 @@
 			break
 		}
 		if g.fresh(m, now) {
-			a.Known = append(a.Known, Known{m.Member, now.Sub(m.heard), m.watches})
+			a.Known = append(a.Known, KnownMember{m.Member, now.Sub(m.heard), m.watches})
 		}
 	}
 	return a
@@ -205,7 +205,7 @@
 
 // heard takes another gateway's announcement, which answers what was asked at a time, or
 // came unasked if that is zero.
-func (g *Gossip) heard(a *Announce, asked time.Time) {
+func (g *Gossip) heard(a *Announcement, asked time.Time) {
 	now := time.Now()
 	g.mu.Lock()
 	e := g.note(a.From, now)
@@ -238,7 +238,7 @@
 	g.mu.Unlock()
 	g.learnSuspects(a, asked, now)
 	if a.At == g.Mirror.At() {
-		g.Follow.Sure(now.Add(-a.Certain))
+		g.Follower.MarkCurrent(now.Add(-a.CurrentAge))
 	}
 	if !asked.IsZero() { // Else it may have been long on its way.
 		g.learn(a, asked)
@@ -252,18 +252,18 @@
 }
 
 // learn takes what another gateway, asked at a time, knows of when changes were made.
-func (g *Gossip) learn(a *Announce, asked time.Time) {
+func (g *Gossip) learn(a *Announcement, asked time.Time) {
 	if at := g.Mirror.At(); a.At <= at && a.At.Era() == at.Era() {
-		g.Follow.Proved(asked.Add(-a.Complete))
+		g.Follower.MarkComplete(asked.Add(-a.CompleteAge))
 	}
-	for _, d := range a.Dates {
-		g.Mirror.Date(d.Key, d.Rev, asked.Add(-d.Age))
+	for _, d := range a.ChangeAges {
+		g.Mirror.UpdateNotBefore(d.Key, d.Rev, asked.Add(-d.Age))
 	}
 }
 
-// Learnt is closed once every address to join was asked, whether it answered or
+// JoinAttempted is closed once every address to join was asked, whether it answered or
 // not.
-func (g *Gossip) Learnt() <-chan struct{} {
+func (g *Gossip) JoinAttempted() <-chan struct{} {
 	g.init()
 	return g.learnt
 }
@@ -319,12 +319,12 @@
 	}
 }
 
-// Lead tells the first gateways of all halls, while this one watches the platform, that
+// AnnounceWatching tells the first gateways of all halls, while this one watches the platform, that
 // it does: they need not do so themselves then.
-func (g *Gossip) Lead(ctx context.Context) error {
+func (g *Gossip) AnnounceWatching(ctx context.Context) error {
 	g.init()
 	for ctx.Err() == nil {
-		if g.Follow.Watching() {
+		if g.Follower.Watching() {
 			g.mu.Lock()
 			g.announce(ctx, g.wouldWatch(time.Now()), false)
 			g.mu.Unlock()
@@ -389,7 +389,7 @@
 	eras := g.spoken.ask(ctx, c)
 	asked := time.Now()
 	m, err := c.Call(ctx, g.announcement(addr, others, eras))
-	if a, ok := m.(*Announce); ok && err == nil {
+	if a, ok := m.(*Announcement); ok && err == nil {
 		g.heard(a, asked)
 	}
 }
--- a/internal/peers/heard_test.go
+++ b/internal/peers/heard_test.go
@@ -33,8 +33,8 @@
 		}
 		m := &mirror.Mirror{}
 		f := &peers.Follower{
-			Mirror: m, Doubt: 5 * time.Second, Event: func(string, fault.Code) {},
-			Whole: func(context.Context) (mirror.Delta, error) {
+			Mirror: m, MaxAssumedAge: 5 * time.Second, Event: func(string, fault.Code) {},
+			ReadAll: func(context.Context) (mirror.Delta, error) {
 				return mirror.Delta{Whole: true, At: 1, Records: []mirror.Record{{Key: "old", Rev: 1}}}, nil
 			},
 			Watch: func(ctx context.Context, since mirror.Position, wait time.Duration) (mirror.Delta, error) {
--- a/internal/peers/held.go
+++ b/internal/peers/held.go
@@ -11,7 +11,7 @@
 )
 
 // HeldKeys tells of records that the sender holds against what the platform says since it came
-// back from a copy; see mirror.Held.
+// back from a copy; see mirror.HeldRecord.
 type HeldKeys struct {
 	From Member
 	Keys []HeldKey
@@ -23,8 +23,8 @@
 	At  mirror.Position // Of the record.
 }
 
-// AskHeld asks for records that were told of. It is answered by HeldRecords.
-type AskHeld struct{ Keys []string }
+// HeldRequest asks for records that were told of. It is answered by HeldRecords.
+type HeldRequest struct{ Keys []string }
 
 // HeldRecords are records that the sender holds.
 type HeldRecords struct {
@@ -37,7 +37,7 @@
 
 // tellHeld tells some gateways which records are held here.
 func (g *Gossip) tellHeld(ctx context.Context, to []string) {
-	held := g.Mirror.Held()
+	held := g.Mirror.HeldRecords()
 	if len(held) == 0 {
 		return
 	}
@@ -62,9 +62,9 @@
 
 // serveHeldKeys asks for what may be news here.
 func (g *Gossip) serveHeldKeys(_ context.Context, _ *wire.Stream, m *HeldKeys) {
-	var ask AskHeld
+	var ask HeldRequest
 	for _, k := range m.Keys {
-		if len(ask.Keys) < mostHeld && g.Mirror.Wants(k.Key, k.At) {
+		if len(ask.Keys) < mostHeld && g.Mirror.NeedsHeld(k.Key, k.At) {
 			ask.Keys = append(ask.Keys, k.Key)
 		}
 	}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (g *Gossip) askHeld(addr string, ask *AskHeld) error {
+func (g *Gossip) askHeld(addr string, ask *HeldRequest) error {
 	ctx, cancel := context.WithTimeout(g.Pool.Lifetime, pullWithin)
 	defer cancel()
 	c, err := g.Pool.Get(ctx, addr)
@@ -95,7 +95,7 @@
 	}
 	r.Records.heardBy(asked)
 	for i, rec := range r.Records.Delta.Records {
-		h := mirror.Held{Record: rec}
+		h := mirror.HeldRecord{Record: rec}
 		if r.Left[i] > 0 {
 			h.Until = asked.Add(r.Left[i])
 		}
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func (g *Gossip) serveAskHeld(ctx context.Context, s *wire.Stream, m *AskHeld) {
+func (g *Gossip) serveAskHeld(ctx context.Context, s *wire.Stream, m *HeldRequest) {
 	asked := make(map[string]bool, len(m.Keys))
 	for _, k := range m.Keys {
 		asked[k] = true
@@ -112,7 +112,7 @@
 	now := time.Now()
 	var d mirror.Delta
 	out := &HeldRecords{}
-	for _, h := range g.Mirror.Held() {
+	for _, h := range g.Mirror.HeldRecords() {
 		if !asked[h.Key] {
 			continue
 		}
@@ -127,15 +127,15 @@
 	_ = s.SendLast(ctx, out)
 }
 
-// LogNote writes what a mirror made of a copy.
-func LogNote(n mirror.Note) {
+// LogMirrorEvent writes what a mirror made of a copy.
+func LogMirrorEvent(n mirror.Event) {
 	switch n.Kind {
-	case mirror.NoteEra:
-		telemetry.Log("store_returned", "before", n.Known.Rev, "at", n.Said.Rev, "held", n.Held)
-	case mirror.NoteHeld:
-		telemetry.Log("record_held", "key", n.Key, "known", n.Known.Rev, "deleted", n.Known.Gone, "copied", n.Said.Rev, "lacks", n.Said.Gone, "for", leftOf(n.Until))
-	case mirror.NoteReleased:
-		telemetry.Log("record_released", "key", n.Key, "known", n.Known.Rev, "copied", n.Said.Rev, "lacks", n.Said.Gone)
+	case mirror.EventNewEra:
+		telemetry.Log("store_returned", "before", n.Known.Rev, "at", n.Published.Rev, "held", n.HeldCount)
+	case mirror.EventHeld:
+		telemetry.Log("record_held", "key", n.Key, "known", n.Known.Rev, "deleted", n.Known.Gone, "copied", n.Published.Rev, "lacks", n.Published.Gone, "for", leftOf(n.Until))
+	case mirror.EventReleased:
+		telemetry.Log("record_released", "key", n.Key, "known", n.Known.Rev, "copied", n.Published.Rev, "lacks", n.Published.Gone)
 	}
 }
 
--- a/internal/peers/limits.go
+++ b/internal/peers/limits.go
@@ -9,14 +9,14 @@
 	"github.com/poststand/poststand/fleet"
 )
 
-// OldestWord bounds the ages that a LimitWord tells.
-const OldestWord = time.Hour
+// MaxReportedAge bounds the ages that a LimitWord tells.
+const MaxReportedAge = time.Hour
 
-// LimitWord is what an answer of a replica said of how many requests it takes from all
+// ReplicaLimit is what an answer of a replica said of how many requests it takes from all
 // gateways together. Clocks differ, so times travel as ages.
-type LimitWord struct {
+type ReplicaLimit struct {
 	ID        string // Of the replica,
-	Born      int64  // and of its life; see fleet.Life.
+	Born      int64  // and of its life; see fleet.Incarnation.
 	Named     bool
 	PerSecond float64       // 0 where none is named.
 	AskedAge  time.Duration // The answer was made after this
@@ -24,34 +24,34 @@
 }
 
 // Life returns the life of the replica that the word is of.
-func (w *LimitWord) Life() fleet.Life { return fleet.Life{ID: w.ID, Born: w.Born} }
+func (w *ReplicaLimit) Life() fleet.Incarnation { return fleet.Incarnation{ID: w.ID, Born: w.Born} }
 
 // Valid reports whether the word can be believed.
-func (w *LimitWord) Valid() bool {
-	return w.ID != "" && w.PerSecond >= 0 && !math.IsInf(w.PerSecond, 1) && w.HeardAge >= 0 && w.AskedAge >= w.HeardAge && w.AskedAge <= OldestWord
+func (w *ReplicaLimit) Valid() bool {
+	return w.ID != "" && w.PerSecond >= 0 && !math.IsInf(w.PerSecond, 1) && w.HeardAge >= 0 && w.AskedAge >= w.HeardAge && w.AskedAge <= MaxReportedAge
 }
 
-// AskPermit asks the gateway that keeps a replica's limit for the right to send one request. It
+// PermitRequest asks the gateway that keeps a replica's limit for the right to send one request. It
 // is answered by a Permit.
-type AskPermit struct {
-	Word LimitWord // As far as the sender knows.
-	Rank int       // Of the request; 0 is the most urgent.
+type PermitRequest struct {
+	Word ReplicaLimit // As far as the sender knows.
+	Rank int          // Of the request; 0 is the most urgent.
 }
 
 // Permit answers an AskPermit.
 type Permit struct {
-	Word   LimitWord // As far as the limiter knows.
+	Word   ReplicaLimit // As far as the limiter knows.
 	Given  bool
 	NextIn time.Duration // Until one may be free, where none is given.
 	// NotLimiter says that the gateway does not keep the limit, as far as it knows.
 	NotLimiter bool
 }
 
-// LimitWords tells what replicas said.
-type LimitWords struct{ Words []LimitWord }
+// ReplicaLimits tells what replicas said.
+type ReplicaLimits struct{ Words []ReplicaLimit }
 
-// AskPermitOf asks the gateway at an address for a permit.
-func (g *Gossip) AskPermitOf(ctx context.Context, addr string, ask *AskPermit) (*Permit, error) {
+// RequestPermit asks the gateway at an address for a permit.
+func (g *Gossip) RequestPermit(ctx context.Context, addr string, ask *PermitRequest) (*Permit, error) {
 	c, err := g.Pool.Get(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -67,10 +67,10 @@
 	return p, nil
 }
 
-// TellLimits tells the gateway at an address what replicas said. Nothing shows whether it
+// SendLimits tells the gateway at an address what replicas said. Nothing shows whether it
 // arrives.
-func (g *Gossip) TellLimits(ctx context.Context, addr string, words []LimitWord) {
-	g.tell(ctx, addr, &LimitWords{words})
+func (g *Gossip) SendLimits(ctx context.Context, addr string, words []ReplicaLimit) {
+	g.tell(ctx, addr, &ReplicaLimits{words})
 }
 
 // tell sends a message that is not answered.
--- a/internal/peers/message.go
+++ b/internal/peers/message.go
@@ -15,36 +15,36 @@
 	Hall string
 }
 
-// Announce says who is there and what it knows. It is answered by another one.
-type Announce struct {
+// Announcement says who is there and what it knows. It is answered by another one.
+type Announcement struct {
 	From  Member
 	At    mirror.Position // The sender holds every published change up to it.
-	Known []Known         // Some of the gateways that the sender heard of lately; in some announcements only.
+	Known []KnownMember   // Some of the gateways that the sender heard of lately; in some announcements only.
 	// Watching says that the sender watches the platform itself and is answered.
 	Watching bool
-	// Certain is how long ago At was last known to be the newest revision, by whatever
+	// CurrentAge is how long ago At was last known to be the newest revision, by whatever
 	// the sender has heard.
-	Certain time.Duration
-	// Complete is how long ago at the most the sender still lacked something; see
-	// Follower.Complete.
-	Complete time.Duration
-	Dates    []Date // Of late changes that times are counted from.
+	CurrentAge time.Duration
+	// CompleteAge is how long ago at the most the sender still lacked something; see
+	// Follower.CompleteAsOf.
+	CompleteAge time.Duration
+	ChangeAges  []ChangeAge // Of late changes that times are counted from.
 	// Suspects are requests under which replicas ended, as far as the receiver may not know
 	// of them.
 	Suspects       []quarantine.Report
 	SuspectsDigest uint64 // See quarantine.Table.Digest.
 }
 
-// Date is how long ago, at the most, a change was made.
-type Date struct {
+// ChangeAge is how long ago, at the most, a change was made.
+type ChangeAge struct {
 	Key    string
 	Rev    mirror.Position
 	Age    time.Duration // Of the change itself,
 	GapAge time.Duration // and of any before it that the sender has not seen: read by builds that took it for any that they had not seen.
 }
 
-// Known is a gateway that somebody heard of.
-type Known struct {
+// KnownMember is a gateway that somebody heard of.
+type KnownMember struct {
 	Member
 	Age      time.Duration // Since the last sign of it, when the message was sent.
 	Watching bool          // By that sign.
@@ -99,19 +99,19 @@
 
 // Assignment is all that an agent needs to know.
 type Assignment struct {
-	At          mirror.Position // Of the published records.
-	Model       string
-	Version     uint64  // To be brought to the replica.
-	Steps       []Step  // How it came to be named, the oldest first.
-	Origin      string  // IP and port of the origin of weights.
-	OriginRate  float64 // Bytes a second of the origin's link.
-	Bytes       int     // Of a whole version.
-	Replicas    []Replica
-	Gateways    []Member            // That the agent may ask, and tell how its replica stands.
-	Quarantined []quarantine.Report // To be kept for gateways that start.
-	// Tell is how many of Gateways the agent tells: the first ones that answer. Zero
+	At           mirror.Position // Of the published records.
+	Model        string
+	Version      uint64  // To be brought to the replica.
+	Steps        []Step  // How it came to be named, the oldest first.
+	Origin       string  // IP and port of the origin of weights.
+	OriginRate   float64 // Bytes a second of the origin's link.
+	VersionBytes int     // Of a whole version.
+	Replicas     []Replica
+	Gateways     []Member            // That the agent may ask, and tell how its replica stands.
+	Quarantined  []quarantine.Report // To be kept for gateways that start.
+	// ReportTargets is how many of Gateways the agent tells: the first ones that answer. Zero
 	// is all.
-	Tell int
+	ReportTargets int
 }
 
 // Status is how a replica stands, told by its agent.
@@ -125,16 +125,16 @@
 	Changing bool
 	// ChangeIn is how long until then, or 0 where it is not known: what is given to
 	// the replica should have ended by then.
-	ChangeIn time.Duration
-	Reached  bool // The replica answered its agent.
-	Queued   int
-	Running  int
-	Used     int     // Tokens of contexts in its memory,
-	Total    int     // and how many fit.
-	Pace     float64 // Above 1 it works slower than it should.
-	SlowLink bool    // The box's link has been slower than it should be of late.
-	Missing  int     // Pieces of the assigned version that are not here yet.
-	PassOn   bool    // The agent tells only a few gateways: this one is to tell the others.
+	ChangeIn      time.Duration
+	Reached       bool // The replica answered its agent.
+	Queued        int
+	Running       int
+	UsedTokens    int     // Tokens of contexts in its memory,
+	TotalTokens   int     // and how many fit.
+	Pace          float64 // Above 1 it works slower than it should.
+	SlowLink      bool    // The box's link has been slower than it should be of late.
+	MissingChunks int     // Pieces of the assigned version that are not here yet.
+	Forward       bool    // The agent tells only a few gateways: this one is to tell the others.
 }
 
 // OnlyLoadDiffers reports whether two statuses differ in nothing but how much the
@@ -145,42 +145,42 @@
 
 // Report is how a replica stood when its agent told a gateway of it.
 type Report struct {
-	Addr     string
-	Version  uint64
-	Changing bool
-	ChangeIn time.Duration // From when the message was sent, or 0 where it is not known.
-	Queued   int
-	Running  int
-	Pace     float64
-	Moving   bool // Weights are on their way to its box.
-	SlowLink bool
-	Age      time.Duration // Since the agent told, when the message was sent.
+	Addr            string
+	Version         uint64
+	Changing        bool
+	ChangeIn        time.Duration // From when the message was sent, or 0 where it is not known.
+	Queued          int
+	Running         int
+	Pace            float64
+	FetchingWeights bool // Weights are on their way to its box.
+	SlowLink        bool
+	Age             time.Duration // Since the agent told, when the message was sent.
 }
 
 // Reports passes on how replicas stand, from a gateway that their agents tell to one
 // that they do not.
 type Reports struct {
 	Replicas []Report
-	// Onward says that the replicas are of another hall, and that the receiver is to
+	// ForwardInHall says that the replicas are of another hall, and that the receiver is to
 	// tell the gateways of its own hall of them.
-	Onward bool
+	ForwardInHall bool
 }
 
 // Messages registers this package's messages.
 var Messages = []wire.Entry{
-	{Kind: 96, Message: &Announce{}, Compress: true},
+	{Kind: 96, Message: &Announcement{}, Compress: true},
 	{Kind: 97, Message: &Pull{}},
 	{Kind: 98, Message: &Records{}, Compress: true},
 	{Kind: 99, Message: &Subscribe{}},
 	{Kind: 100, Message: &Assignment{}, Compress: true},
 	{Kind: 101, Message: &Status{}},
 	{Kind: 102, Message: &Reports{}, Compress: true},
-	{Kind: 103, Message: &AskPermit{}, ByName: true},
+	{Kind: 103, Message: &PermitRequest{}, ByName: true},
 	{Kind: 104, Message: &Permit{}, ByName: true},
-	{Kind: 105, Message: &LimitWords{}, ByName: true},
+	{Kind: 105, Message: &ReplicaLimits{}, ByName: true},
 	{Kind: 106, Message: &ReplicaEnds{}, ByName: true},
-	{Kind: 107, Message: &Speaks{}, ByName: true},
+	{Kind: 107, Message: &Capabilities{}, ByName: true},
 	{Kind: 108, Message: &HeldKeys{}, ByName: true},
-	{Kind: 109, Message: &AskHeld{}, ByName: true},
+	{Kind: 109, Message: &HeldRequest{}, ByName: true},
 	{Kind: 110, Message: &HeldRecords{}, ByName: true, Compress: true},
 }
--- a/internal/peers/neighbours.go
+++ b/internal/peers/neighbours.go
@@ -69,12 +69,12 @@
 	return chosen, rest
 }
 
-// Watches reports whether this gateway is to watch the platform itself: it is among the
+// ShouldWatch reports whether this gateway is to watch the platform itself: it is among the
 // first of its hall in an order that all share, none before it says that it does, and
 // no gateway of a hall that goes before this one was heard of late that does. Others
 // learn of changes from those that watch. Halls that are cut off from each other each
 // have one that watches.
-func (g *Gossip) Watches() bool {
+func (g *Gossip) ShouldWatch() bool {
 	g.init()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -151,8 +151,8 @@
 	yieldMost      = 3                      // No more than so many of each are waited for.
 )
 
-// Yield returns for how long this gateway waits to be told before it reads all records.
-func (g *Gossip) Yield() time.Duration {
+// ReadDelay returns for how long this gateway waits to be told before it reads all records.
+func (g *Gossip) ReadDelay() time.Duration {
 	g.init()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/peers/pull.go
+++ b/internal/peers/pull.go
@@ -58,7 +58,7 @@
 		g.mu.Unlock()
 	}()
 	life := g.Pool.Lifetime
-	if g.Mirror.At() > 0 && g.Follow.Watching() {
+	if g.Mirror.At() > 0 && g.Follower.Watching() {
 		kernel.Sleep(life, pullAfter)
 	}
 	g.mu.Lock()
@@ -88,6 +88,6 @@
 	g.mu.Lock()
 	g.pulledAt = max(g.pulledAt, r.Delta.At) // Before it is applied: that wakes the one who announces.
 	g.mu.Unlock()
-	taken := g.Mirror.Apply(g.Follow.dated(r.Delta))
+	taken := g.Mirror.Apply(g.Follower.dated(r.Delta))
 	telemetry.Log("pulled", "peer", addr, "since", since, "at", r.Delta.At, "whole", r.Delta.Whole, "records", len(r.Delta.Records), "taken", taken)
 }
--- a/internal/peers/push.go
+++ b/internal/peers/push.go
@@ -20,7 +20,7 @@
 // What a gateway had to ask for it announces, since others may lack it too.
 func (g *Gossip) passedOn(ctx context.Context) bool {
 	at := g.Mirror.At() // Before the others: what they say of later revisions is for the next time.
-	tookAt := g.Follow.TookAt()
+	tookAt := g.Follower.PlatformPosition()
 	g.mu.Lock()
 	pulled, took, onward := g.pulledAt > g.handledAt, tookAt > g.handledAt, g.onwardAt > g.handledAt
 	g.handledAt = at
@@ -127,7 +127,7 @@
 		g.onwardAt = max(g.onwardAt, r.Delta.At) // Before it is applied: that wakes the one who passes on.
 	}
 	g.mu.Unlock()
-	if taken := g.Mirror.Apply(g.Follow.dated(r.Delta)); !taken || r.Delta.At > had {
+	if taken := g.Mirror.Apply(g.Follower.dated(r.Delta)); !taken || r.Delta.At > had {
 		telemetry.Log("push_received", "had", had, "since", r.Delta.Base, "at", r.Delta.At, "records", len(r.Delta.Records), "taken", taken, "onward", r.Onward)
 	}
 }
--- a/internal/peers/records.go
+++ b/internal/peers/records.go
@@ -57,10 +57,10 @@
 // count from the same time.
 const datedFor = 10 * time.Second
 
-func dates(rs []mirror.Record, now time.Time) []Date {
-	var out []Date
+func dates(rs []mirror.Record, now time.Time) []ChangeAge {
+	var out []ChangeAge
 	for _, r := range rs {
-		out = append(out, Date{Key: r.Key, Rev: r.Rev, Age: now.Sub(r.NotBefore), GapAge: now.Sub(r.GapNotBefore)})
+		out = append(out, ChangeAge{Key: r.Key, Rev: r.Rev, Age: now.Sub(r.NotBefore), GapAge: now.Sub(r.GapNotBefore)})
 	}
 	return out
 }
--- a/internal/peers/slow_test.go
+++ b/internal/peers/slow_test.go
@@ -32,7 +32,7 @@
 		}
 		f := &Follower{
 			Mirror: &mirror.Mirror{}, Event: func(string, fault.Code) {},
-			Whole: func(ctx context.Context) (mirror.Delta, error) {
+			ReadAll: func(ctx context.Context) (mirror.Delta, error) {
 				wholes.Add(1)
 				d := mirror.Delta{Whole: true, At: mirror.Position(at.Load()), Records: []mirror.Record{{Key: "k", Rev: mirror.Position(at.Load())}}}
 				return d, pause(ctx, slow)
@@ -44,7 +44,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = f.Run(ctx) }()
-		go func() { _ = f.Check(ctx) }()
+		go func() { _ = f.RunChecks(ctx) }()
 		time.Sleep(4 * time.Second)
 		is.Equal(f.Mirror.At(), mirror.Position(1)) // The first read has five seconds.
 		at.Store(2)
--- a/internal/peers/speaks.go
+++ b/internal/peers/speaks.go
@@ -9,9 +9,9 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Speaks tells another process what the sender understands beside what its protocol number
+// Capabilities tells another process what the sender understands beside what its protocol number
 // says. It is answered by the other's; builds that do not know it refuse it.
-type Speaks struct {
+type Capabilities struct {
 	Eras bool // Positions that name an era. Where it is false, only their revisions are told.
 }
 
@@ -25,7 +25,7 @@
 	eras map[uint64]bool
 }
 
-func (s *spoken) learn(c *wire.Conn, m Speaks) {
+func (s *spoken) learn(c *wire.Conn, m Capabilities) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.eras == nil || len(s.eras) >= mostSpoken {
@@ -46,24 +46,24 @@
 	if eras, known := s.knows(c); known {
 		return eras
 	}
-	m, err := Introduce(ctx, c)
+	m, err := ExchangeCapabilities(ctx, c)
 	if err == nil || fault.Is(err, fault.Unsupported) {
 		s.learn(c, m)
 	}
 	return m.Eras
 }
 
-// Introduce tells the other end of a connection what this build understands, and returns what
+// ExchangeCapabilities tells the other end of a connection what this build understands, and returns what
 // the other one does.
-func Introduce(ctx context.Context, c *wire.Conn) (Speaks, error) {
-	m, err := c.Call(ctx, &Speaks{Eras: true})
+func ExchangeCapabilities(ctx context.Context, c *wire.Conn) (Capabilities, error) {
+	m, err := c.Call(ctx, &Capabilities{Eras: true})
 	if err != nil {
-		return Speaks{}, err
+		return Capabilities{}, err
 	}
-	if s, ok := m.(*Speaks); ok {
+	if s, ok := m.(*Capabilities); ok {
 		return *s, nil
 	}
-	return Speaks{}, fault.New(fault.Garbage, "introduction")
+	return Capabilities{}, fault.New(fault.Garbage, "introduction")
 }
 
 // PositionFor returns a position as the other end of a connection understands it.
@@ -74,19 +74,19 @@
 	return withoutEra(at)
 }
 
-func (g *Gossip) serveSpeaks(ctx context.Context, s *wire.Stream, m *Speaks) {
+func (g *Gossip) serveSpeaks(ctx context.Context, s *wire.Stream, m *Capabilities) {
 	g.spoken.learn(s.Conn(), *m)
-	_ = s.SendLast(ctx, &Speaks{Eras: true})
+	_ = s.SendLast(ctx, &Capabilities{Eras: true})
 }
 
 // withoutEra is what is told of a position to a build that knows no eras: it watches the
 // platform from the number that it is told.
 func withoutEra(at mirror.Position) mirror.Position { return mirror.NewPosition(0, at.Revision()) }
 
-func (a *Announce) withoutEra() {
+func (a *Announcement) withoutEra() {
 	a.At = withoutEra(a.At)
-	for i := range a.Dates {
-		a.Dates[i].Rev = withoutEra(a.Dates[i].Rev)
+	for i := range a.ChangeAges {
+		a.ChangeAges[i].Rev = withoutEra(a.ChangeAges[i].Rev)
 	}
 }
 
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -17,12 +17,12 @@
 	if g.Suspects == nil {
 		return nil
 	}
-	return g.Suspects.Urgent()
+	return g.Suspects.UrgentUpdate()
 }
 
 // addSuspects adds what the gateway at an address may not know of requests under which
 // replicas ended. The caller holds g.mu.
-func (g *Gossip) addSuspects(a *Announce, to string, now time.Time) {
+func (g *Gossip) addSuspects(a *Announcement, to string, now time.Time) {
 	if g.Suspects == nil {
 		return
 	}
@@ -31,12 +31,12 @@
 	if m := g.members[to]; m != nil && !m.heard.IsZero() {
 		theirs = m.suspects
 	}
-	a.Suspects = g.Suspects.Reports(now, theirs)
+	a.Suspects = g.Suspects.PendingReports(now, theirs)
 }
 
 // learnSuspects takes what another gateway tells of such requests. An announcement that
 // came unasked may have been long on its way: what it tells counts as of now.
-func (g *Gossip) learnSuspects(a *Announce, asked, now time.Time) {
+func (g *Gossip) learnSuspects(a *Announcement, asked, now time.Time) {
 	if g.Suspects == nil {
 		return
 	}
@@ -49,11 +49,11 @@
 // LearnQuarantine has a table learn what a process tells, asked at a time, and writes a line
 // for each request that is quarantined by it, or no longer is.
 func LearnQuarantine(t *quarantine.Table, asked, now time.Time, rs []quarantine.Report, from string) {
-	for k, v := range t.Learn(asked, now, rs) {
-		if v.Served {
+	for k, v := range t.Merge(asked, now, rs) {
+		if v.Cleared {
 			telemetry.Log("quarantine_lifted", "key", k, "from", from, "epoch", v.Epoch)
 			continue
 		}
-		telemetry.Log("quarantine_learnt", "key", k, "from", from, "round", v.Round, "last_ended_ago", v.LastAgo(now), "replicas", v.Replicas(), "for", v.Until.Sub(now))
+		telemetry.Log("quarantine_learnt", "key", k, "from", from, "round", v.Round, "last_ended_ago", v.SinceLastStrike(now), "replicas", v.Replicas(), "for", v.Until.Sub(now))
 	}
 }
--- a/internal/peers/told_test.go
+++ b/internal/peers/told_test.go
@@ -18,11 +18,11 @@
 	now := time.Now()
 	assign := func(ago time.Duration) *Assignment {
 		return Assign(&catalog.Catalog{
-			Config: &config.Config{Services: map[string]config.Service{"llm": {Model: "m"}}},
-			Wanted: map[string]catalog.Wanted{"m": catalog.Wanted{}.With(catalog.Step{Version: 2, Named: now.Add(-ago)})},
+			Config:  &config.Config{Services: map[string]config.Service{"llm": {Model: "m"}}},
+			Targets: map[string]catalog.Target{"m": catalog.Target{}.With(catalog.TargetChange{Version: 2, SetAt: now.Add(-ago)})},
 		}, "llm", now)
 	}
 	first, mended := assign(5500*time.Millisecond), assign(200*time.Millisecond)
 	is.Equal(first.Steps[0].Age-mended.Steps[0].Age, 5300*time.Millisecond)
-	is.True(!mended.Same(first))
+	is.True(!mended.SameForAgent(first))
 }
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -23,12 +23,12 @@
 		to      route.Choice
 		want    bool
 	}{
-		{"new, little ahead", aim, false, route.Choice{Upstream: engine, Wait: 200 * time.Millisecond}, true},
-		{"new, too much ahead", aim, false, route.Choice{Upstream: engine, Wait: 300 * time.Millisecond}, false},
-		{"back, little ahead", aim, true, route.Choice{Upstream: engine, Wait: 150 * time.Millisecond}, true},
-		{"back, as much as a new one may wait for", aim, true, route.Choice{Upstream: engine, Wait: 200 * time.Millisecond}, false},
-		{"a plain service", aim, true, route.Choice{Wait: time.Second}, true},
-		{"a route without an aim", 0, true, route.Choice{Upstream: engine, Wait: time.Second}, true},
+		{"new, little ahead", aim, false, route.Choice{Upstream: engine, QueueWait: 200 * time.Millisecond}, true},
+		{"new, too much ahead", aim, false, route.Choice{Upstream: engine, QueueWait: 300 * time.Millisecond}, false},
+		{"back, little ahead", aim, true, route.Choice{Upstream: engine, QueueWait: 150 * time.Millisecond}, true},
+		{"back, as much as a new one may wait for", aim, true, route.Choice{Upstream: engine, QueueWait: 200 * time.Millisecond}, false},
+		{"a plain service", aim, true, route.Choice{QueueWait: time.Second}, true},
+		{"a route without an aim", 0, true, route.Choice{Upstream: engine, QueueWait: time.Second}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/relay/agents.go
+++ b/internal/relay/agents.go
@@ -11,10 +11,10 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// assignLeast is the least time between two assignments to an agent that differ only
+// minAssignInterval is the least time between two assignments to an agent that differ only
 // in who else there is: while replicas come and go all the time, an agent needs no word
 // of each, and its box's link is small.
-const assignLeast = 400 * time.Millisecond
+const minAssignInterval = 400 * time.Millisecond
 
 // serveSubscribe tells an agent what concerns it, now and at each change.
 func (g *Relay) serveSubscribe(ctx context.Context, s *wire.Stream, m *peers.Subscribe) {
@@ -26,15 +26,15 @@
 	var sent peers.Assignment
 	var notBefore time.Time
 	for {
-		c, changed := g.holder.Watch()
+		c, changed := g.catalog.Watch()
 		now := time.Now()
-		a := g.assign(c, s.Conn().Remote().Hall, m, now)
-		if a != nil && !a.Same(&sent) && (a.Urgent(&sent) || !now.Before(notBefore)) {
+		a := g.assignment(c, s.Conn().Remote().Hall, m, now)
+		if a != nil && !a.SameForAgent(&sent) && (a.UrgentChange(&sent) || !now.Before(notBefore)) {
 			a.At = g.gossip.PositionFor(s.Conn(), a.At)
 			if s.Send(ctx, a) != nil {
 				return
 			}
-			sent, notBefore = *a, now.Add(assignLeast)
+			sent, notBefore = *a, now.Add(minAssignInterval)
 		}
 		t := time.NewTimer(look)
 		select {
@@ -48,9 +48,9 @@
 	}
 }
 
-// assign works out what concerns an agent of a hall, or returns nil where that is not
+// assignment works out what concerns an agent of a hall, or returns nil where that is not
 // known.
-func (g *Relay) assign(c *catalog.Catalog, hall string, m *peers.Subscribe, now time.Time) *peers.Assignment {
+func (g *Relay) assignment(c *catalog.Catalog, hall string, m *peers.Subscribe, now time.Time) *peers.Assignment {
 	a := peers.Assign(c, m.Service, now)
 	if a == nil {
 		return nil
@@ -62,32 +62,32 @@
 		}
 	}
 	a.Quarantined = g.suspects.Quarantined(now)
-	a.Gateways, a.Tell = peers.GatewaysFor(m.Addr, hall, agents, g.gossip.Live())
+	a.Gateways, a.ReportTargets = peers.GatewaysFor(m.Addr, hall, agents, g.gossip.Live())
 	return a
 }
 
-// slowDelay is how long a ping of an agent takes when what is sent to its box is long
+// slowLinkDelay is how long a ping of an agent takes when what is sent to its box is long
 // on its way. While weights move it takes less.
-const slowDelay = 400 * time.Millisecond
+const slowLinkDelay = 400 * time.Millisecond
 
 // serveStatus takes an agent's reports of its replica, again and again.
 func (g *Relay) serveStatus(ctx context.Context, s *wire.Stream, m *peers.Status) {
 	var old peers.Status
 	for {
-		m.SlowLink = m.SlowLink || s.Conn().Delay(time.Now()) >= slowDelay
+		m.SlowLink = m.SlowLink || s.Conn().RTT(time.Now()) >= slowLinkDelay
 		if m.Reached {
 			now := time.Now()
 			r := route.AgentReport{
 				Version: m.Version, Changing: m.Changing, ChangeAt: changeAt(m.ChangeIn, now),
-				Queued: m.Queued, Running: m.Running, Pace: m.Pace, Moving: m.Missing > 0, SlowLink: m.SlowLink, At: now,
+				Queued: m.Queued, Running: m.Running, Slowdown: m.Pace, ReceivingWeights: m.MissingChunks > 0, SlowLink: m.SlowLink, ReceivedAt: now,
 			}
-			g.table.Heard(m.Addr, r)
-			if m.PassOn {
-				g.collected.hold(m.Addr, r, true)
+			g.table.UpdateReport(m.Addr, r)
+			if m.Forward {
+				g.reports.add(m.Addr, r, true)
 			}
 		}
 		if m.Version != old.Version || m.Changing != old.Changing || m.Reached != old.Reached || m.SlowLink != old.SlowLink {
-			telemetry.Log("replica_told", "addr", m.Addr, "weights", m.Version, "changing", m.Changing, "reached", m.Reached, "slow_link", m.SlowLink, "missing", m.Missing)
+			telemetry.Log("replica_told", "addr", m.Addr, "weights", m.Version, "changing", m.Changing, "reached", m.Reached, "slow_link", m.SlowLink, "missing", m.MissingChunks)
 		}
 		old = *m
 		next, err := s.Recv(ctx)
--- a/internal/relay/callers.go
+++ b/internal/relay/callers.go
@@ -22,7 +22,7 @@
 // ServeHTTP answers one request of a caller.
 func (g *Relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
-	rq, err := g.read(w, r, began)
+	rq, err := g.readRequest(w, r, began)
 	if err != nil {
 		g.refuse(w, r, rq, dispatch.Result{Outcome: dispatch.NotRun, Reason: fault.CodeOf(err)}, err)
 		return
@@ -31,7 +31,7 @@
 	res := g.process(r.Context(), rq, out)
 	g.Metrics.Whole(time.Since(began).Seconds())
 	g.Metrics.Outcome(res.Outcome.String(), res.Reason)
-	g.logEnd(rq, out, res)
+	g.logRequest(rq, out, res)
 	if res.Outcome == dispatch.Done {
 		return
 	}
@@ -42,13 +42,13 @@
 	g.refuse(w, r, rq, res, nil)
 }
 
-// read takes a request in and finds out what it may do. The request it returns
+// readRequest takes a request in and finds out what it may do. The request it returns
 // with an error has only what was known by then.
-func (g *Relay) read(w http.ResponseWriter, r *http.Request, now time.Time) (*request, error) {
-	d := g.dialect
+func (g *Relay) readRequest(w http.ResponseWriter, r *http.Request, now time.Time) (*request, error) {
+	d := g.headers
 	rq := &request{
 		id: r.Header.Get(d.RequestID), method: r.Method, target: r.RequestURI, host: r.Host,
-		catalog: g.holder.Get(), arrived: now, lastEvent: r.Header.Get(d.ResumeAfter),
+		catalog: g.catalog.Get(), arrivedAt: now, lastEventID: r.Header.Get(d.LastEventID),
 	}
 	c := rq.catalog
 	if c.Config == nil {
@@ -59,7 +59,7 @@
 	if rq.routeName, rq.route, ok = c.Routing.Find(hostOf(r.Host), path); !ok {
 		return rq, fault.New(fault.NoService, path)
 	}
-	if err := rq.identify(r.Header.Get("Authorization")); err != nil {
+	if err := rq.authenticate(r.Header.Get("Authorization")); err != nil {
 		return rq, err
 	}
 	if rq.id == "" {
@@ -72,22 +72,22 @@
 			return rq, fault.New(fault.BadRequest, d.Deadline)
 		}
 		left := time.Duration(n * float64(time.Millisecond))
-		rq.retried = g.waits.spent(rq.routeName, left)
+		rq.retried = g.timeouts.isRetry(rq.routeName, left)
 		wait = min(wait, left)
 	}
 	rq.deadline = now.Add(wait)
 	rq.service = chooseService(rq.route.Services)
-	rq.work = workOf(d, r.Header, c.Config.Services[rq.service].Engine)
-	rq.header = rq.passedOn(d, r.Header)
+	rq.work = parseWork(d, r.Header, c.Config.Services[rq.service].Engine)
+	rq.header = rq.forwardedHeader(d, r.Header)
 	if err := rq.readBody(w, r, c.Config.Callers.BodyBytes); err != nil {
 		return rq, err
 	}
-	rq.key = rq.identity()
+	rq.key = rq.quarantineKey()
 	return rq, nil
 }
 
-// identify finds the organisation that a request is of.
-func (rq *request) identify(authorization string) error {
+// authenticate finds the organisation that a request is of.
+func (rq *request) authenticate(authorization string) error {
 	rq.rank = rq.route.Rank
 	t := rq.catalog.Routing
 	if rq.route.Public || !t.Keyed {
@@ -188,25 +188,25 @@
 	status := statusOf(res)
 	h := w.Header()
 	if rq != nil && rq.id != "" {
-		h.Set(g.dialect.RequestID, rq.id)
+		h.Set(g.headers.RequestID, rq.id)
 	}
 	if status == http.StatusServiceUnavailable {
 		if res.RetryAt.IsZero() {
-			res.RetryAt = g.comeBack(time.Now(), rq, 0)
+			res.RetryAt = g.retryTime(time.Now(), rq, 0)
 		}
 		h.Set("Retry-After", strconv.FormatFloat(max(0, time.Until(res.RetryAt).Seconds()), 'f', 2, 64))
 	}
 	if err != nil {
 		telemetry.Log("refused", "id", rq.id, "status", status, "reason", res.Reason, "detail", err.Error(),
-			"host", r.Host, "route", rq.routeName, "revision", rq.catalog.At, "version", rq.catalog.Version)
+			"host", r.Host, "route", rq.routeName, "revision", rq.catalog.Position, "version", rq.catalog.Version)
 	}
 	h.Set("Content-Length", "0")
-	g.sayClosing(h)
+	g.setConnectionClose(h)
 	w.WriteHeader(status)
 }
 
-// sayClosing has a caller use its connection no more once the process drains.
-func (g *Relay) sayClosing(h http.Header) {
+// setConnectionClose has a caller use its connection no more once the process drains.
+func (g *Relay) setConnectionClose(h http.Header) {
 	if g.draining() {
 		h.Set("Connection", "close")
 	}
--- a/internal/relay/collect_test.go
+++ b/internal/relay/collect_test.go
@@ -49,7 +49,7 @@
 				}
 				w.tell(i, func() (all []peers.Status) {
 					for _, r := range w.replicas {
-						all = append(all, peers.Status{Addr: r.Addr, Hall: "h1", Model: "m", Version: version.Load(), Reached: true, PassOn: true})
+						all = append(all, peers.Status{Addr: r.Addr, Hall: "h1", Model: "m", Version: version.Load(), Reached: true, Forward: true})
 					}
 					return all
 				})
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -19,20 +19,20 @@
 
 // Times of connections to upstreams.
 const (
-	restUnknown  = 1500 * time.Millisecond // Rest after which one is not used again, where the upstream says nothing,
-	restMargin   = 700 * time.Millisecond  // and how long before the time that it said.
-	restMost     = 20 * time.Second
-	restUnsafe   = 400 * time.Millisecond // For requests that must not be lost.
-	idleOfOneMax = 64
+	defaultIdle        = 1500 * time.Millisecond // Rest after which one is not used again, where the upstream says nothing,
+	idleMargin         = 700 * time.Millisecond  // and how long before the time that it said.
+	maxIdle            = 20 * time.Second
+	maxIdleUnsafe      = 400 * time.Millisecond // For requests that must not be lost.
+	maxIdlePerUpstream = 64
 )
 
 // conn is one connection to an upstream. One request uses it at a time.
 type conn struct {
 	net.Conn
-	r      *bufio.Reader
-	rested time.Time // When it became idle.
-	until  time.Time // It is not used again after this.
-	used   int
+	r             *bufio.Reader
+	idleSince     time.Time // When it became idle.
+	reusableUntil time.Time // It is not used again after this.
+	uses          int
 }
 
 // abort ends a connection whose request was given up. Bytes of it that have not left
@@ -44,24 +44,24 @@
 	_ = c.Close()
 }
 
-// conns keeps idle connections by upstream. The zero value needs Dial.
-type conns struct {
+// connPool keeps idle connections by upstream. The zero value needs Dial.
+type connPool struct {
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu   sync.Mutex
-	idle map[fleet.Life][]*conn // By the life of the upstream, the last used last.
+	idle map[fleet.Incarnation][]*conn // By the life of the upstream, the last used last.
 }
 
 // get returns a connection that rested for less than rest, or a new one. A new
 // one that cannot be had leaves the request not run.
-func (p *conns) get(ctx context.Context, to fleet.Life, addr string, rest time.Duration) (*conn, error) {
+func (p *connPool) get(ctx context.Context, to fleet.Incarnation, addr string, rest time.Duration) (*conn, error) {
 	for {
 		c := p.take(to)
 		if c == nil {
 			break
 		}
 		now := time.Now()
-		if now.Before(c.until) && now.Sub(c.rested) < rest && c.silent() {
+		if now.Before(c.reusableUntil) && now.Sub(c.idleSince) < rest && c.isQuiet() {
 			return c, nil
 		}
 		_ = c.Close()
@@ -78,7 +78,7 @@
 	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, buffer)}, nil
 }
 
-func (p *conns) take(from fleet.Life) *conn {
+func (p *connPool) take(from fleet.Incarnation) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cs := p.idle[from]
@@ -91,15 +91,15 @@
 }
 
 // put keeps a connection whose answer is over for the next request.
-func (p *conns) put(to fleet.Life, c *conn, rest time.Duration) {
+func (p *connPool) put(to fleet.Incarnation, c *conn, rest time.Duration) {
 	now := time.Now()
-	c.rested, c.until = now, now.Add(rest)
-	c.used++
+	c.idleSince, c.reusableUntil = now, now.Add(rest)
+	c.uses++
 	p.mu.Lock()
 	if p.idle == nil {
-		p.idle = map[fleet.Life][]*conn{}
+		p.idle = map[fleet.Incarnation][]*conn{}
 	}
-	full := len(p.idle[to]) >= idleOfOneMax
+	full := len(p.idle[to]) >= maxIdlePerUpstream
 	if !full {
 		p.idle[to] = append(p.idle[to], c)
 	}
@@ -110,13 +110,13 @@
 }
 
 // sweep closes what has rested for too long, and all to upstreams that are used no more.
-func (p *conns) sweep(now time.Time, uses func(l fleet.Life) bool) {
+func (p *connPool) sweep(now time.Time, uses func(l fleet.Incarnation) bool) {
 	var old []*conn
 	p.mu.Lock()
 	for l, cs := range p.idle {
 		kept := cs[:0]
 		for _, c := range cs {
-			if uses(l) && now.Before(c.until) {
+			if uses(l) && now.Before(c.reusableUntil) {
 				kept = append(kept, c)
 			} else {
 				old = append(old, c)
@@ -133,9 +133,9 @@
 	}
 }
 
-// silent reports whether the upstream has neither sent anything nor ended the
+// isQuiet reports whether the upstream has neither sent anything nor ended the
 // connection since the last answer. Bytes that came belong to no request.
-func (c *conn) silent() bool {
+func (c *conn) isQuiet() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -157,18 +157,18 @@
 	return err == nil && quiet
 }
 
-// restOf is for how long a connection may rest, by the upstream's word of it.
-func restOf(keepAlive string) time.Duration {
+// keepAliveTimeout is for how long a connection may rest, by the upstream's word of it.
+func keepAliveTimeout(keepAlive string) time.Duration {
 	for _, part := range strings.Split(keepAlive, ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
 			v = strings.TrimSpace(part)
 		}
 		if s, err := strconv.Atoi(v); err == nil && s >= 0 {
-			return min(restMost, time.Duration(s)*time.Second-restMargin)
+			return min(maxIdle, time.Duration(s)*time.Second-idleMargin)
 		}
 	}
-	return restUnknown
+	return defaultIdle
 }
 
 func isTimeout(err error) bool {
--- a/internal/relay/copy_cases_test.go
+++ b/internal/relay/copy_cases_test.go
@@ -19,7 +19,7 @@
 	time.Sleep(time.Second) // All have heard of it.
 	w.store.Refuse(http.StatusServiceUnavailable)
 	time.Sleep(500 * time.Millisecond)
-	w.store.FallBack(int(w.store.Revision() - before))
+	w.store.RestoreFromBackup(int(w.store.Revision() - before))
 	w.store.Refuse(0)
 }
 
@@ -104,7 +104,7 @@
 		w.store.Put("op/config", withKeys(3, "x"))
 		time.Sleep(time.Second)
 		knew = w.gateways[5].Status().Version
-		w.store.FallBack(1)
+		w.store.RestoreFromBackup(1)
 		w.only.Store(0)
 		time.Sleep(2 * time.Second)
 		others = w.gateways[0].Status().Version
@@ -125,12 +125,12 @@
 		w.drill(func() { w.store.Put("servers/p0", w.replicas[0].Record("draining")) })
 		time.Sleep(time.Second)
 		after(w)
-		before := w.replicas[0].Asked()
+		before := w.replicas[0].RequestCount()
 		for range 20 {
 			w.statuses("/safe/", nil)
 			time.Sleep(200 * time.Millisecond)
 		}
-		came = w.replicas[0].Asked() - before
+		came = w.replicas[0].RequestCount() - before
 	})
 	return came
 }
@@ -174,10 +174,10 @@
 					w.addGateway(6, slowly(w.store))
 					time.Sleep(1500 * time.Millisecond)
 				}
-				before := w.replicas[0].Asked()
+				before := w.replicas[0].RequestCount()
 				time.AfterFunc(4*time.Second, func() { w.store.Delete("servers/p0") })
 				got = w.callers("/safe/", 50*time.Millisecond, 14*time.Second)
-				came = w.replicas[0].Asked() - before
+				came = w.replicas[0].RequestCount() - before
 			})
 			check.Equal(came, 0)
 			check.Equal(got, map[int]int{http.StatusOK: 280})
@@ -199,9 +199,9 @@
 					within = time.Second
 				}
 				time.Sleep(within)
-				before := w.replicas[0].Asked()
+				before := w.replicas[0].RequestCount()
 				w.callers("/safe/", 20*time.Millisecond, 2*time.Second)
-				came = w.replicas[0].Asked() - before
+				came = w.replicas[0].RequestCount() - before
 			})
 			is.New(t).True(came > 0)
 		})
@@ -269,7 +269,7 @@
 	rs := plain(3)
 	among(t, rs, func(w *world) {
 		w.store.Refuse(http.StatusServiceUnavailable)
-		w.store.FallBack(int(w.store.Revision()))
+		w.store.RestoreFromBackup(int(w.store.Revision()))
 		w.store.Refuse(0)
 		for i, r := range rs {
 			time.AfterFunc(time.Duration(500+500*i)*time.Millisecond, func() { w.store.Put("servers/"+r.ID, r.Record("ready")) })
@@ -287,17 +287,17 @@
 		play func(w *world)
 	}{
 		{"by a check alone", func(w *world) {
-			w.store.Deafen(true)
+			w.store.SuspendWatches(true)
 			w.changes(4)
-			w.store.FallBack(4)
+			w.store.RestoreFromBackup(4)
 		}},
 		{"when it rises by more", func(w *world) {
-			w.store.Drills(5)
+			w.store.AddRestores(5)
 			w.drill(func() { w.changes(4) })
 		}},
 		{"two in a row", func(w *world) {
 			w.drill(func() { w.changes(4) })
-			w.store.FallBack(2)
+			w.store.RestoreFromBackup(2)
 		}},
 		{"while halls are cut off", func(w *world) {
 			w.cutHall("h1", true)
@@ -312,9 +312,9 @@
 			time.Sleep(3 * time.Second)
 		}},
 		{"while no era is named", func(w *world) {
-			w.store.NoEra.Store(true)
+			w.store.OmitEra.Store(true)
 			time.Sleep(time.Second)
-			w.store.NoEra.Store(false)
+			w.store.OmitEra.Store(false)
 			w.drill(func() { w.changes(4) })
 		}},
 	}
@@ -345,9 +345,9 @@
 		}
 		time.Sleep(4 * time.Second)
 		w.drill(func() { w.changes(6) })
-		reads, calls = w.store.Pages(), w.store.Calls()
+		reads, calls = w.store.PageReads(), w.store.Calls()
 		time.Sleep(3 * time.Second)
-		reads, calls = w.store.Pages()-reads, w.store.Calls()-calls
+		reads, calls = w.store.PageReads()-reads, w.store.Calls()-calls
 	})
 	check.True(reads >= 1 && reads <= most)
 	check.True(calls <= 3*4*gateways) // Four a second each, as while it is away.
--- a/internal/relay/copy_test.go
+++ b/internal/relay/copy_test.go
@@ -30,7 +30,7 @@
 				w.changes(c.lost)
 				time.Sleep(time.Second) // All have heard of them.
 				w.store.Refuse(http.StatusServiceUnavailable)
-				w.store.FallBack(c.lost)
+				w.store.RestoreFromBackup(c.lost)
 				w.changes(c.away)
 				time.Sleep(1500 * time.Millisecond)
 				w.store.Refuse(0)
@@ -101,7 +101,7 @@
 				w.changes(lost)
 				time.Sleep(time.Second)
 				w.store.Refuse(http.StatusServiceUnavailable)
-				w.store.FallBack(lost)
+				w.store.RestoreFromBackup(lost)
 				w.store.Put("op/config", withoutSafe(2))
 				w.changes(more)
 				time.Sleep(time.Second)
@@ -123,13 +123,13 @@
 		leaving := w.replicas[0]
 		w.store.Put("servers/p0", leaving.Record("draining"))
 		time.Sleep(2 * time.Second)
-		before := leaving.Asked()
+		before := leaving.RequestCount()
 		for i := range w.gateways {
 			for range each {
 				w.ask(i, "GET", "/safe/", nil)
 			}
 		}
-		if n := leaving.Asked() - before; n > 0 {
+		if n := leaving.RequestCount() - before; n > 0 {
 			w.t.Errorf("%d requests reach a replica that said 2 s ago that it leaves", n)
 		}
 	})
@@ -139,7 +139,7 @@
 func TestReadersOfACopyThatNamesNoEraPauseBetweenReads(t *testing.T) {
 	run(t, 0, plain(3), func(_ *is.I, w *world) {
 		const lasts, each = 5, 12 // Seconds, and calls a second of a hall.
-		w.store.NoEra.Store(true)
+		w.store.OmitEra.Store(true)
 		w.startHalls()
 		w.drill(func() { w.changes(6) })
 		time.Sleep(2 * time.Second)
@@ -154,9 +154,9 @@
 func TestReadersOfACopyPauseBetweenReads(t *testing.T) {
 	playCopies(t, func(w *world) {
 		const lasts, each = 5, 12 // Seconds, and calls a second of a hall.
-		calls, pages := w.store.Calls(), w.store.Pages()
+		calls, pages := w.store.Calls(), w.store.PageReads()
 		time.Sleep(lasts * time.Second)
-		calls, pages = w.store.Calls()-calls, w.store.Pages()-pages
+		calls, pages = w.store.Calls()-calls, w.store.PageReads()-pages
 		if calls > lasts*each*w.halls || pages > 0 {
 			w.t.Errorf("%d calls, of them %d pages of all records, in %d s in which nothing changes", calls, pages, lasts)
 		}
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -145,8 +145,8 @@
 func TestResetsQuarantineNothing(t *testing.T) {
 	run(t, 2, engines(4, 3), func(is *is.I, w *world) {
 		for _, r := range w.replicas {
-			r.Act = func(_ int, x *platformtest.Exchange) bool {
-				x.Run()
+			r.Handle = func(_ int, x *platformtest.Exchange) bool {
+				x.RecordRun()
 				_ = x.Conn.Close()
 				return true
 			}
--- a/internal/relay/crashes_test.go
+++ b/internal/relay/crashes_test.go
@@ -46,7 +46,7 @@
 func (w *world) crashOn() *crashes {
 	c := &crashes{w: w}
 	for _, r := range w.replicas {
-		r.Crashes = c.under
+		r.CrashOn = c.under
 	}
 	return c
 }
@@ -75,7 +75,7 @@
 	c.next++
 	next := &platformtest.Replica{
 		ID: fmt.Sprintf("%s-%d", r.Addr, c.next), Service: r.Service, Addr: r.Addr, Hall: r.Hall, Version: r.Version,
-		Events: r.Events, Gap: r.Gap, Slots: r.Slots, Crashes: r.Crashes,
+		Events: r.Events, EventInterval: r.EventInterval, Slots: r.Slots, CrashOn: r.CrashOn,
 	}
 	c.mu.Unlock()
 	w.addReplica(next)
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -27,9 +27,9 @@
 	net.Conn
 
 	mu      sync.Mutex
-	waiting bool // No byte of the next request was read yet.
+	idle    bool // No byte of the next request was read yet.
 	served  bool // A request was answered on it.
-	ending  bool // Its reads fail, so that the server closes it. Implies waiting.
+	closing bool // Its reads fail, so that the server closes it. Implies waiting.
 }
 
 // callerListener accepts connections of callers.
@@ -47,19 +47,19 @@
 func (c *callerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.began()
+		c.requestBegan()
 	}
 	return n, err
 }
 
-// began records that a request has begun to come in. One that came just before its
+// requestBegan records that a request has begun to come in. One that came just before its
 // connection was to end is served.
-func (c *callerConn) began() {
+func (c *callerConn) requestBegan() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waiting = false
-	if c.ending {
-		c.ending = false
+	c.idle = false
+	if c.closing {
+		c.closing = false
 		_ = c.Conn.SetReadDeadline(time.Time{})
 	}
 }
@@ -68,41 +68,41 @@
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending {
+	if c.closing {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// awaits records that the next request is waited for.
-func (c *callerConn) awaits(served bool) {
+// setIdle records that the next request is waited for.
+func (c *callerConn) setIdle(served bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waiting, c.served = true, served
+	c.idle, c.served = true, served
 }
 
-// endIfWaiting ends the connection if no request is under way on it; one that never
+// closeIfIdle ends the connection if no request is under way on it; one that never
 // had a request only if fresh is set.
-func (c *callerConn) endIfWaiting(fresh bool) {
+func (c *callerConn) closeIfIdle(fresh bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.waiting || c.ending || !c.served && !fresh {
+	if !c.idle || c.closing || !c.served && !fresh {
 		return
 	}
-	c.ending = true
+	c.closing = true
 	past := time.Unix(1, 0)
 	_ = c.Conn.SetReadDeadline(past)
 }
 
-// state follows a connection; it is the ConnState of the server.
-func (s *callerConns) state(nc net.Conn, st http.ConnState) {
+// trackState follows a connection; it is the ConnState of the server.
+func (s *callerConns) trackState(nc net.Conn, st http.ConnState) {
 	c, ok := nc.(*callerConn)
 	if !ok {
 		return
 	}
 	switch st {
 	case http.StateNew:
-		c.awaits(false)
+		c.setIdle(false)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.open == nil {
@@ -110,7 +110,7 @@
 		}
 		s.open[c] = struct{}{}
 	case http.StateIdle:
-		c.awaits(true)
+		c.setIdle(true)
 	case http.StateClosed, http.StateHijacked:
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -118,25 +118,25 @@
 	}
 }
 
-// endWaiting ends the connections on which no request is under way, see
-// callerConn.endIfWaiting. It returns how many connections are left.
-func (s *callerConns) endWaiting(fresh bool) int {
+// closeIdle ends the connections on which no request is under way, see
+// callerConn.closeIfIdle. It returns how many connections are left.
+func (s *callerConns) closeIdle(fresh bool) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.open {
-		c.endIfWaiting(fresh)
+		c.closeIfIdle(fresh)
 	}
 	return len(s.open)
 }
 
-// departure is when a process that is told to stop does what.
-type departure struct {
-	late time.Time // From then on it begins nothing that it may have to cut.
-	last time.Time // By then it has answered.
+// drainTimes is when a process that is told to stop does what.
+type drainTimes struct {
+	streamsUntil time.Time // From then on it begins nothing that it may have to cut.
+	answersUntil time.Time // By then it has answered.
 }
 
 // draining reports whether the process is told to stop.
-func (g *Relay) draining() bool { return g.leaving.Load() != nil }
+func (g *Relay) draining() bool { return g.stopping.Load() != nil }
 
 // admits reports whether a request may be begun. Little tells beforehand how long a stream
 // will be: the first event of long ones is
@@ -144,20 +144,20 @@
 // far off. So a late one is begun only if its caller waits no longer than the process
 // stays. An answer that is given only whole can be waited for until the process leaves, and
 // then its caller is told so.
-func (d *departure) admits(now time.Time, rq *request) bool {
-	if d == nil || !rq.deadline.After(d.last) {
+func (d *drainTimes) admits(now time.Time, rq *request) bool {
+	if d == nil || !rq.deadline.After(d.answersUntil) {
 		return true
 	}
 	if rq.route.Kind != streamKind {
-		rq.deadline = d.last
+		rq.deadline = d.answersUntil
 		return true
 	}
-	return now.Before(d.late)
+	return now.Before(d.streamsUntil)
 }
 
-// elsewhereIn is when the caller of a request that a stopping process turns away should
+// drainRetryDelay is when the caller of a request that a stopping process turns away should
 // come back: other gateways can take it at once.
-func elsewhereIn() time.Duration {
+func drainRetryDelay() time.Duration {
 	const least, spread = 20 * time.Millisecond, 80 * time.Millisecond
 	return least + rand.N(spread)
 }
@@ -167,8 +167,8 @@
 func (g *Relay) ServeCallers(stop, own context.Context, ln net.Listener) error {
 	var conns callerConns
 	srv := &http.Server{
-		Handler: g, ReadHeaderTimeout: headerIn, MaxHeaderBytes: headerMost, IdleTimeout: callersIdle,
-		ErrorLog: nil, ConnState: conns.state,
+		Handler: g, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: callerIdleTimeout,
+		ErrorLog: nil, ConnState: conns.trackState,
 	}
 	served := make(chan error, 1)
 	go func() { served <- telemetry.ServeHTTP(own, callerListener{ln}, srv) }()
@@ -187,17 +187,17 @@
 	const look = 50 * time.Millisecond
 	began := time.Now()
 	telemetry.Log("drain_started", "box", g.Settings.Box)
-	noticed, end := began.Add(noticeFor), began.Add(g.bounds.Load().GraceFor-leaveBefore)
-	g.leaving.Store(&departure{late: began.Add(lateAfter), last: end.Add(-answerIn)})
-	left := conns.endWaiting(false)
+	noticed, end := began.Add(balancerNotice), began.Add(g.bounds.Load().GraceFor-exitMargin)
+	g.stopping.Store(&drainTimes{streamsUntil: began.Add(streamCutoff), answersUntil: end.Add(-answerMargin)})
+	left := conns.closeIdle(false)
 	for ; own.Err() == nil && time.Now().Before(noticed); kernel.Sleep(own, look) {
-		left = conns.endWaiting(false)
+		left = conns.closeIdle(false)
 	}
 	if err := ln.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		telemetry.LogError(err, "listener_not_closed", "box", g.Settings.Box)
 	}
 	for ; own.Err() == nil && time.Now().Before(end); kernel.Sleep(own, look) {
-		if left = conns.endWaiting(true); left == 0 {
+		if left = conns.closeIdle(true); left == 0 {
 			break
 		}
 	}
--- a/internal/relay/drain_test.go
+++ b/internal/relay/drain_test.go
@@ -151,7 +151,7 @@
 			if tc.events > 0 {
 				replicas = engines(1, tc.events)
 			}
-			replicas[0].Act = func(int, *platformtest.Exchange) bool { return tc.silent }
+			replicas[0].Handle = func(int, *platformtest.Exchange) bool { return tc.silent }
 			run(t, 1, replicas, func(_ *is.I, w *world) {
 				is := is.NewRelaxed(w.t) // What fails is told, and the rest is played to its end.
 				ln := &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
--- a/internal/relay/endings.go
+++ b/internal/relay/endings.go
@@ -12,66 +12,66 @@
 )
 
 const (
-	// endingWithin is how long a replica may take to turn a connection away: one that says
+	// endProbeTimeout is how long a replica may take to turn a connection away: one that says
 	// nothing may be cut off, and is not known to have ended.
-	endingWithin = 200 * time.Millisecond
-	// endingKept is for how long what was found out of a replica holds: all of its
+	endProbeTimeout = 200 * time.Millisecond
+	// endProbeTTL is for how long what was found out of a replica holds: all of its
 	// connections break at one moment when it ends.
-	endingKept = endingWithin
+	endProbeTTL = endProbeTimeout
 )
 
-// endings finds out whether replicas whose connections broke have ended: a lost connection
+// endProbes finds out whether replicas whose connections broke have ended: a lost connection
 // alone does not say so, and is no reason to suspect a request. The zero value needs Dial.
-type endings struct {
+type endProbes struct {
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
-	mu    sync.Mutex
-	asked map[string]*ending // By the ID of the replica.
+	mu     sync.Mutex
+	probes map[string]*endProbe // By the ID of the replica.
 }
 
-// ending is one question.
-type ending struct {
-	at   time.Time
-	done chan struct{}
-	over bool // The replica has ended; set before done is closed.
+// endProbe is one question.
+type endProbe struct {
+	at    time.Time
+	done  chan struct{}
+	ended bool // The replica has ended; set before done is closed.
 }
 
 // ended asks whether the process at an address is gone. What was asked of late is not asked
 // again.
-func (e *endings) ended(id, addr string) bool {
-	q, isNew := e.question(id)
+func (e *endProbes) ended(id, addr string) bool {
+	q, isNew := e.probe(id)
 	if isNew {
-		q.over = e.refuses(addr)
+		q.ended = e.refusesConnection(addr)
 		close(q.done)
 	}
 	<-q.done
-	return q.over
+	return q.ended
 }
 
-// question returns the last question about a replica, or a new one to be answered by the
+// probe returns the last question about a replica, or a new one to be answered by the
 // caller.
-func (e *endings) question(id string) (q *ending, isNew bool) {
+func (e *endProbes) probe(id string) (q *endProbe, isNew bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if q := e.asked[id]; q != nil && now.Sub(q.at) <= endingKept {
+	if q := e.probes[id]; q != nil && now.Sub(q.at) <= endProbeTTL {
 		return q, false
 	}
-	if e.asked == nil {
-		e.asked = map[string]*ending{}
+	if e.probes == nil {
+		e.probes = map[string]*endProbe{}
 	}
-	q = &ending{at: now, done: make(chan struct{})}
-	e.asked[id] = q
+	q = &endProbe{at: now, done: make(chan struct{})}
+	e.probes[id] = q
 	return q, true
 }
 
-// refuses reports whether nobody listens at an address.
-func (e *endings) refuses(addr string) bool {
+// refusesConnection reports whether nobody listens at an address.
+func (e *endProbes) refusesConnection(addr string) bool {
 	dial := e.Dial
 	if dial == nil {
 		dial = link.Dial
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), endingWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), endProbeTimeout)
 	defer cancel()
 	c, err := dial(ctx, addr)
 	if err == nil {
@@ -82,12 +82,12 @@
 }
 
 // sweep forgets old questions.
-func (e *endings) sweep(now time.Time) {
+func (e *endProbes) sweep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for id, q := range e.asked {
-		if now.Sub(q.at) > endingKept {
-			delete(e.asked, id)
+	for id, q := range e.probes {
+		if now.Sub(q.at) > endProbeTTL {
+			delete(e.probes, id)
 		}
 	}
 }
--- a/internal/relay/endnews.go
+++ b/internal/relay/endnews.go
@@ -14,29 +14,31 @@
 	at time.Time
 }
 
-// sawEnd takes note of the end of a replica, and has all gateways told of it: whether a
+// recordEnd takes note of the end of a replica, and has all gateways told of it: whether a
 // request is why its replicas ended is judged by what else ended about then, and each gateway
 // sees only ends under requests of its own.
-func (g *Relay) sawEnd(id string, at time.Time) {
-	if g.suspects.Ended(time.Now(), id, at) {
-		g.endNews.add(replicaEnd{id, at})
+func (g *Relay) recordEnd(id string, at time.Time) {
+	if g.suspects.RecordTermination(time.Now(), id, at) {
+		g.endQueue.add(replicaEnd{id, at})
 	}
 }
 
-// tellEndNews keeps telling all gateways which replicas ended.
-func (g *Relay) tellEndNews(ctx context.Context) error { return tellNews(ctx, &g.endNews, g.tellEnds) }
+// notifyEnds keeps telling all gateways which replicas ended.
+func (g *Relay) notifyEnds(ctx context.Context) error {
+	return notifyPeers(ctx, &g.endQueue, g.sendEnds)
+}
 
-// tellEnds returns how many gateways were told.
-func (g *Relay) tellEnds(ctx context.Context, ends map[replicaEnd]bool, now time.Time) int {
+// sendEnds returns how many gateways were told.
+func (g *Relay) sendEnds(ctx context.Context, ends map[replicaEnd]bool, now time.Time) int {
 	var told []peers.ReplicaEnd
 	for e := range ends {
-		told = append(told, peers.ReplicaEnd{ID: e.id, Age: max(0, min(peers.OldestWord, now.Sub(e.at)))})
+		told = append(told, peers.ReplicaEnd{ID: e.id, Age: max(0, min(peers.MaxReportedAge, now.Sub(e.at)))})
 	}
 	n := 0
 	for _, m := range g.gossip.Live() {
 		if m.Addr != g.Settings.Listen {
 			n++
-			go g.gossip.TellEnds(ctx, m.Addr, told)
+			go g.gossip.SendReplicaEnds(ctx, m.Addr, told)
 		}
 	}
 	return n
@@ -46,7 +48,7 @@
 	now := time.Now()
 	for i := range m.Ends {
 		if e := &m.Ends[i]; e.Valid() {
-			g.suspects.Ended(now, e.ID, now.Add(-e.Age))
+			g.suspects.RecordTermination(now, e.ID, now.Add(-e.Age))
 		}
 	}
 }
--- a/internal/relay/lead_test.go
+++ b/internal/relay/lead_test.go
@@ -133,14 +133,14 @@
 			for _, i := range w.watching() {
 				away[i].Store(true)
 			}
-			w.store.Deafen(true)
+			w.store.SuspendWatches(true)
 			version++
 			w.store.Put("op/config", withoutSafe(version))
 			time.Sleep(2 * time.Second)
 			for i := range w.gateways {
 				is.Equal(w.ask(i, "GET", "/safe/", nil).status, http.StatusNotFound)
 			}
-			w.store.Deafen(false)
+			w.store.SuspendWatches(false)
 			for i := range away {
 				away[i].Store(false)
 			}
@@ -157,7 +157,7 @@
 	run(t, 0, plain(1), func(is *is.I, w *world) {
 		w.begin(gateways)
 		for version := 2; version < 12; version++ {
-			w.store.Deafen(true)
+			w.store.SuspendWatches(true)
 			w.store.Put("op/config", platformtest.Config(version))
 			revision := w.gateways[0].Status().Revision
 			newer := func(g *relay.Relay) bool { return g.Status().Revision > revision }
@@ -168,7 +168,7 @@
 			for _, g := range w.gateways {
 				is.True(newer(g))
 			}
-			w.store.Deafen(false)
+			w.store.SuspendWatches(false)
 			time.Sleep(2 * time.Second)
 		}
 	})
@@ -217,7 +217,7 @@
 		time.Sleep(time.Until(named.Add(fills)))
 		ask(lives, "fills")
 		time.Sleep(time.Until(named.Add(waits)))
-		is.Equal(rs[0].Asked(), 1)
+		is.Equal(rs[0].RequestCount(), 1)
 		for i := range w.gateways {
 			if i != first[0] {
 				ask(i, fmt.Sprint("waits at ", i))
--- a/internal/relay/learn_test.go
+++ b/internal/relay/learn_test.go
@@ -22,13 +22,13 @@
 // within two seconds all the same, at every gateway.
 func TestSilentWatchIsNoticed(t *testing.T) {
 	run(t, 4, plain(1), func(is *is.I, w *world) {
-		w.store.Deafen(true)
+		w.store.SuspendWatches(true)
 		w.store.Put("op/config", withoutSafe(2))
 		time.Sleep(1500 * time.Millisecond)
 		for i := range w.gateways {
 			is.Equal(w.ask(i, "GET", "/safe/", nil).status, http.StatusNotFound)
 		}
-		w.store.Deafen(false) // The history is gone, and the watches are cut.
+		w.store.SuspendWatches(false) // The history is gone, and the watches are cut.
 		w.store.Put("op/config", config(3))
 		time.Sleep(500 * time.Millisecond)
 		for i := range w.gateways {
@@ -84,8 +84,8 @@
 func TestRepeatsStayWithinTheirBound(t *testing.T) {
 	rs := plain(3)
 	for _, r := range rs {
-		r.Act = func(_ int, x *platformtest.Exchange) bool {
-			x.Run()
+		r.Handle = func(_ int, x *platformtest.Exchange) bool {
+			x.RecordRun()
 			_ = x.Conn.Close()
 			return true
 		}
@@ -225,7 +225,7 @@
 		for _, g := range w.gateways {
 			is.NoErr(g.Ready())
 		}
-		is.True(w.store.Pages() <= gateways*3/4) // One by the gateway of the settings, and by those in a hurry.
+		is.True(w.store.PageReads() <= gateways*3/4) // One by the gateway of the settings, and by those in a hurry.
 	})
 }
 
@@ -243,6 +243,6 @@
 		for _, g := range w.gateways {
 			is.NoErr(g.Ready())
 		}
-		is.True(w.store.Pages() <= gateways/2) // Some six: one in eight, and the first. All by themselves would be 40.
+		is.True(w.store.PageReads() <= gateways/2) // Some six: one in eight, and the first. All by themselves would be 40.
 	})
 }
--- a/internal/relay/limit_cases_test.go
+++ b/internal/relay/limit_cases_test.go
@@ -44,10 +44,10 @@
 				rs, got := plain(1), map[int]int{}
 				run(t, 2, rs, func(_ *is.I, w *world) {
 					if before != nil {
-						rs[0].SayLimit(before...)
+						rs[0].AnnounceLimit(before...)
 						w.callers("/safe/", 40*time.Millisecond, time.Second)
 					}
-					rs[0].SayLimit(tc.values...)
+					rs[0].AnnounceLimit(tc.values...)
 					got = w.callers("/safe/", 40*time.Millisecond, asked*40*time.Millisecond)
 				})
 				check := is.New(t)
@@ -69,14 +69,14 @@
 	rs, got, after := engines(4, 3), map[int]int{}, 0
 	run(t, 6, rs, func(_ *is.I, w *world) {
 		for _, v := range []string{"5", "0.4", "0", "3", "1.7"} {
-			rs[0].SayLimit(v)
+			rs[0].AnnounceLimit(v)
 			for status, n := range w.callers("/s/", 10*time.Millisecond, 8*time.Second) {
 				got[status] += n
 			}
 		}
-		rs[0].SayLimit()
+		rs[0].AnnounceLimit()
 		w.callers("/s/", 10*time.Millisecond, 8*time.Second)
-		after = rs[0].Came(time.Now().Add(-4*time.Second), time.Now())
+		after = rs[0].CountArrivals(time.Now().Add(-4*time.Second), time.Now())
 	})
 	check := is.New(t)
 	check.Equal(overLimit(rs), nil)
@@ -90,10 +90,10 @@
 	const gateways = 15
 	rs, got, asked := plain(1), map[int]int{}, 0
 	run(t, gateways, rs, func(_ *is.I, w *world) {
-		rs[0].SayLimit("0.2")
+		rs[0].AnnounceLimit("0.2")
 		w.ask(0, "POST", "/safe/", nil)
 		time.Sleep(100 * time.Millisecond)
-		asked = rs[0].Asked()
+		asked = rs[0].RequestCount()
 		replies := make(chan reply)
 		for i := 1; i < gateways; i++ {
 			go func() { replies <- w.ask(i, "POST", "/safe/", nil) }()
@@ -101,7 +101,7 @@
 		for i := 1; i < gateways; i++ {
 			got[(<-replies).status]++
 		}
-		asked = rs[0].Asked() - asked
+		asked = rs[0].RequestCount() - asked
 	})
 	check := is.New(t)
 	check.Equal(asked, 0)
@@ -116,7 +116,7 @@
 	var took []time.Duration
 	run(t, 6, rs, func(_ *is.I, w *world) {
 		for _, r := range rs {
-			r.SayLimit("0.5")
+			r.AnnounceLimit("0.5")
 		}
 		w.callers("/safe/", 20*time.Millisecond, time.Second)
 		for range 20 {
@@ -146,8 +146,8 @@
 			if target == "/s/" {
 				rs = engines(2, 6)
 			}
-			rs[0].Act = func(_ int, x *platformtest.Exchange) bool {
-				x.Run()
+			rs[0].Handle = func(_ int, x *platformtest.Exchange) bool {
+				x.RecordRun()
 				if target == "/s/" {
 					x.Printf("%s", x.Head(200, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"))
 					x.Event(1)
@@ -157,11 +157,11 @@
 			}
 			asked := 0
 			run(t, 6, rs, func(_ *is.I, w *world) {
-				rs[1].SayLimit("1.3")
+				rs[1].AnnounceLimit("1.3")
 				w.callers(target, 20*time.Millisecond, 3*time.Second)
-				asked = rs[0].Asked()
+				asked = rs[0].RequestCount()
 				w.callers(target, 20*time.Millisecond, 10*time.Second)
-				asked = rs[0].Asked() - asked
+				asked = rs[0].RequestCount() - asked
 			})
 			check := is.New(t)
 			check.Equal(overLimit(rs), nil)
@@ -184,7 +184,7 @@
 			}
 			return out
 		})
-		rs[1].SayLimit("0.5")
+		rs[1].AnnounceLimit("0.5")
 		w.callers("/s/", 100*time.Millisecond, time.Second) // The limit is heard.
 		time.Sleep(8 * time.Second)
 		w.store.Delete("servers/e1") // All begin at the first.
@@ -195,7 +195,7 @@
 			time.Sleep(30 * time.Millisecond)
 		}
 		time.Sleep(300 * time.Millisecond)
-		asked := rs[1].Asked()
+		asked := rs[1].RequestCount()
 		changing.Store(true)
 		w.store.Put("servers/e1", rs[1].Record("ready"))
 		for range streams {
@@ -203,7 +203,7 @@
 				t.Errorf("%d %q", got.status, got.body)
 			}
 		}
-		moved = rs[1].Asked() - asked
+		moved = rs[1].RequestCount() - asked
 	})
 	check := is.New(t)
 	check.Equal(overLimit(rs), nil)
@@ -219,7 +219,7 @@
 			platformtest.Route("safe", "/safe/", "safe", "api", platformtest.Body{"priority": 1}),
 			platformtest.Route("later", "/later/", "safe", "api", platformtest.Body{"priority": 4}),
 		))
-		rs[0].SayLimit("2")
+		rs[0].AnnounceLimit("2")
 		w.callers("/safe/", 50*time.Millisecond, time.Second)
 		done := make(chan struct{})
 		go func() {
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -46,7 +46,7 @@
 			run(t, tc.gateways, rs, func(_ *is.I, w *world) {
 				w.callers("/s/", 8*time.Millisecond, time.Second)
 				for i, v := range tc.limits {
-					rs[i].SayLimit(v)
+					rs[i].AnnounceLimit(v)
 				}
 				if tc.oneSided {
 					w.gateways = w.gateways[:1]
--- a/internal/relay/limiter_test.go
+++ b/internal/relay/limiter_test.go
@@ -60,7 +60,7 @@
 			rs, got, came := engines(4, 3), map[int]int{}, 0
 			run(t, gateways, rs, func(_ *is.I, w *world) {
 				w.stops = slices.Clone(w.stops)
-				rs[0].SayLimit("1.3")
+				rs[0].AnnounceLimit("1.3")
 				w.callers("/s/", 10*time.Millisecond, 6*time.Second)
 				limiter := limiterOf(rs[0], gateways)
 				ended := strings.HasPrefix(tc.name, "ends")
@@ -70,7 +70,7 @@
 					w.gateways[limiter] = w.gateways[(limiter+1)%gateways]
 				}
 				got = w.callers("/s/", 10*time.Millisecond, 12*time.Second)
-				came = rs[0].Came(time.Now().Add(-4*time.Second), time.Now())
+				came = rs[0].CountArrivals(time.Now().Add(-4*time.Second), time.Now())
 			})
 			check := is.New(t)
 			check.Equal(overLimit(rs), nil)
@@ -91,10 +91,10 @@
 	run(t, 2, rs, func(_ *is.I, w *world) {
 		w.addOlder(older)
 		time.Sleep(time.Second)
-		rs[0].SayLimit("1.3")
+		rs[0].AnnounceLimit("1.3")
 		w.callers("/s/", 10*time.Millisecond, 4*time.Second)
 		got = w.callers("/s/", 10*time.Millisecond, 8*time.Second)
-		came = rs[0].Came(time.Now().Add(-4*time.Second), time.Now())
+		came = rs[0].CountArrivals(time.Now().Add(-4*time.Second), time.Now())
 	})
 	check := is.New(t)
 	check.Equal(overLimit(rs), nil)
@@ -104,9 +104,9 @@
 
 // addOlder adds what a gateway of a build without limits says to others.
 func (w *world) addOlder(addr string) {
-	announce := &peers.Announce{From: peers.Member{Name: addr, Addr: addr, Hall: "h1"}}
+	announce := &peers.Announcement{From: peers.Member{Name: addr, Addr: addr, Hall: "h1"}}
 	var hs wire.Handlers
-	wire.On(&hs, func(ctx context.Context, s *wire.Stream, _ *peers.Announce) { _ = s.SendLast(ctx, announce) })
+	wire.On(&hs, func(ctx context.Context, s *wire.Stream, _ *peers.Announcement) { _ = s.SendLast(ctx, announce) })
 	const every = 200 * time.Millisecond
 	w.addOlderProcess(addr, "h1", &hs, every, func(ctx context.Context, c *wire.Conn) { _, _ = c.Call(ctx, announce) })
 }
@@ -122,7 +122,7 @@
 			w.addGateway(i, w.store)
 		}
 		time.Sleep(3 * time.Second)
-		rs[0].SayLimit("3")
+		rs[0].AnnounceLimit("3")
 		w.callers("/s/", 10*time.Millisecond, 4*time.Second)
 		for i := range gateways {
 			for j := range gateways {
@@ -133,7 +133,7 @@
 		}
 		w.callers("/s/", 10*time.Millisecond, 4*time.Second) // Each hall has noticed.
 		got = w.callers("/s/", 10*time.Millisecond, 16*time.Second)
-		came = rs[0].Came(time.Now().Add(-16*time.Second), time.Now())
+		came = rs[0].CountArrivals(time.Now().Add(-16*time.Second), time.Now())
 		for i := range gateways {
 			for j := range gateways {
 				w.net.Stall(gatewayAddr(i), gatewayAddr(j), false)
@@ -154,17 +154,17 @@
 		w.join = []string{gatewayAddr(0), gatewayAddr(1)}
 		w.addGateway(0, w.store)
 		time.Sleep(3 * time.Second)
-		rs[0].SayLimit("30")
+		rs[0].AnnounceLimit("30")
 		w.net.Stall(gatewayAddr(0), gatewayAddr(1), true)
 		w.addGateway(1, w.store)
 		time.Sleep(400 * time.Millisecond)
 		heard = w.ask(1, "GET", "/safe/", nil).status // It hears of the limit.
-		asked = rs[0].Asked()
+		asked = rs[0].RequestCount()
 		for range 3 {
 			time.Sleep(100 * time.Millisecond)
 			status = max(status, w.ask(1, "GET", "/safe/", nil).status)
 		}
-		asked = rs[0].Asked() - asked
+		asked = rs[0].RequestCount() - asked
 		w.net.Stall(gatewayAddr(0), gatewayAddr(1), false)
 	})
 	check := is.New(t)
@@ -185,7 +185,7 @@
 				r.ID += "k"
 			}
 			w.store.Put("servers/"+r.ID, r.Record("ready"))
-			r.SayLimit("50")
+			r.AnnounceLimit("50")
 		}
 		for i := range rs {
 			w.store.Delete(fmt.Sprintf("servers/p%d", i))
@@ -222,7 +222,7 @@
 		rs[0].ID += "x"
 	}
 	run(t, gateways, rs, func(_ *is.I, w *world) {
-		rs[0].SayLimit("0.5")
+		rs[0].AnnounceLimit("0.5")
 		w.callers("/safe/", 50*time.Millisecond, 8*time.Second)
 		w.addGateway(gateways, w.store)
 		w.callers("/safe/", 50*time.Millisecond, 8*time.Second)
@@ -230,9 +230,9 @@
 		w.stops[last]()
 		w.stops, w.gateways = w.stops[:last], w.gateways[:gateways]
 		time.Sleep(4 * time.Second) // It is missed by then, and nobody has asked.
-		asked = rs[0].Asked()
+		asked = rs[0].RequestCount()
 		w.callers("/safe/", 10*time.Millisecond, 200*time.Millisecond)
-		asked = rs[0].Asked() - asked
+		asked = rs[0].RequestCount() - asked
 	})
 	check := is.New(t)
 	check.Equal(overLimit(rs), nil)
--- a/internal/relay/limitnews.go
+++ b/internal/relay/limitnews.go
@@ -13,60 +13,60 @@
 
 // Waits of telling others what replicas said of their limits.
 const (
-	toldWithin = time.Second // So long a message may have been on its way.
-	// tellAgain is after which time what was heard is told once more: of what may have been
+	maxTransit = time.Second // So long a message may have been on its way.
+	// limitRepeatDelay is after which time what was heard is told once more: of what may have been
 	// said before what they know, others believe only the lower limit.
-	tellAgain = 2 * toldWithin
+	limitRepeatDelay = 2 * maxTransit
 )
 
-// wordOf is what is believed of a replica's limit, as it is told.
-func wordOf(id fleet.Life, l route.Limit, now time.Time) peers.LimitWord {
-	w := peers.LimitWord{ID: id.ID, Born: id.Born, Named: l.Named, PerSecond: l.PerSecond}
-	w.HeardAge = max(0, min(peers.OldestWord, now.Sub(l.Heard)))
-	w.AskedAge = max(w.HeardAge, min(peers.OldestWord, now.Sub(l.Asked)))
+// limitMessage is what is believed of a replica's limit, as it is told.
+func limitMessage(id fleet.Incarnation, l route.Limit, now time.Time) peers.ReplicaLimit {
+	w := peers.ReplicaLimit{ID: id.ID, Born: id.Born, Named: l.Named, PerSecond: l.PerSecond}
+	w.HeardAge = max(0, min(peers.MaxReportedAge, now.Sub(l.Heard)))
+	w.AskedAge = max(w.HeardAge, min(peers.MaxReportedAge, now.Sub(l.Asked)))
 	return w
 }
 
-// hearLimitWord takes what another gateway tells unasked: the message may have been on its way
+// receiveLimit takes what another gateway tells unasked: the message may have been on its way
 // for so long.
-func (g *Relay) hearLimitWord(w *peers.LimitWord, now time.Time, onWay time.Duration, from string) {
-	g.learnLimit(w, now.Add(-onWay-w.AskedAge), from)
+func (g *Relay) receiveLimit(w *peers.ReplicaLimit, now time.Time, onWay time.Duration, from string) {
+	g.mergeLimit(w, now.Add(-onWay-w.AskedAge), from)
 }
 
-// learnLimit takes what another gateway tells of a replica's limit, by an answer that was made
+// mergeLimit takes what another gateway tells of a replica's limit, by an answer that was made
 // after a time.
-func (g *Relay) learnLimit(w *peers.LimitWord, asked time.Time, from string) {
+func (g *Relay) mergeLimit(w *peers.ReplicaLimit, asked time.Time, from string) {
 	now := time.Now()
 	o := route.Limit{Named: w.Named, PerSecond: w.PerSecond, Asked: asked, Heard: now.Add(-w.HeardAge)}
-	before, after := g.table.Limits(w.Life(), now, o)
-	if before.Same(after) {
+	before, after := g.table.UpdateLimit(w.Life(), now, o)
+	if before.SameRate(after) {
 		return
 	}
 	g.Metrics.Event("upstream_limit_learnt", "")
 	telemetry.Log("upstream_limit_learnt", "id", w.ID, "limit", after, "before", before, "from", from, "heard_ago", w.HeardAge)
 	if g.limiterOf(w.ID).addr == g.Settings.Listen {
-		g.limitNews.add(w.Life())
+		g.limitQueue.add(w.Life())
 	}
 }
 
-// tellLimitNews keeps telling what replicas said of their limits: the limiter of each, which
+// notifyLimits keeps telling what replicas said of their limits: the limiter of each, which
 // tells all others. Each gateway would else send a first request to a replica in need before
 // it hears of it by itself.
-func (g *Relay) tellLimitNews(ctx context.Context) error {
-	return tellNews(ctx, &g.limitNews, g.tellLimits)
+func (g *Relay) notifyLimits(ctx context.Context) error {
+	return notifyPeers(ctx, &g.limitQueue, g.sendLimits)
 }
 
-// tellLimitTwice has others told of what a replica said now, and once more in a while.
-func (g *Relay) tellLimitTwice(l fleet.Life) {
-	g.limitNews.add(l)
-	time.AfterFunc(tellAgain, func() { g.limitNews.add(l) })
+// queueLimitTwice has others told of what a replica said now, and once more in a while.
+func (g *Relay) queueLimitTwice(l fleet.Incarnation) {
+	g.limitQueue.add(l)
+	time.AfterFunc(limitRepeatDelay, func() { g.limitQueue.add(l) })
 }
 
-// tellLimits tells each gateway what concerns it, and returns how many were told.
-func (g *Relay) tellLimits(ctx context.Context, news map[fleet.Life]bool, now time.Time) int {
-	to := map[string][]peers.LimitWord{}
+// sendLimits tells each gateway what concerns it, and returns how many were told.
+func (g *Relay) sendLimits(ctx context.Context, news map[fleet.Incarnation]bool, now time.Time) int {
+	to := map[string][]peers.ReplicaLimit{}
 	for l := range news {
-		w := wordOf(l, g.table.Limit(l), now)
+		w := limitMessage(l, g.table.Limit(l), now)
 		if k := g.limiterOf(l.ID); k.addr != g.Settings.Listen {
 			to[k.addr] = append(to[k.addr], w)
 			continue
@@ -78,16 +78,16 @@
 		}
 	}
 	for addr, words := range to {
-		go g.gossip.TellLimits(ctx, addr, words)
+		go g.gossip.SendLimits(ctx, addr, words)
 	}
 	return len(to)
 }
 
-func (g *Relay) serveLimitWords(_ context.Context, s *wire.Stream, m *peers.LimitWords) {
+func (g *Relay) serveLimitWords(_ context.Context, s *wire.Stream, m *peers.ReplicaLimits) {
 	now := time.Now()
 	for i := range m.Words {
 		if w := &m.Words[i]; w.Valid() {
-			g.hearLimitWord(w, now, toldWithin, s.Conn().Remote().Box)
+			g.receiveLimit(w, now, maxTransit, s.Conn().Remote().Box)
 		}
 	}
 }
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -32,7 +32,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	pool := &wire.Pool{
 		Local: wire.Hello{Cluster: "c", Box: "agent", Hall: "h1", Role: "agent", Incarnation: 7}, Codec: relay.Codec,
-		Handlers: &wire.Handlers{}, Lifetime: ctx, Options: wire.Options{PingEvery: time.Second, StallAfter: 3 * time.Second},
+		Handlers: &wire.Handlers{}, Lifetime: ctx, Options: wire.Options{PingInterval: time.Second, StallTimeout: 3 * time.Second},
 		Dial: func(ctx context.Context, to string) (net.Conn, error) { return w.net.Dial(ctx, addr, to) },
 	}
 	done := make(chan struct{})
@@ -99,7 +99,7 @@
 				is.True(!got.cut)
 				is.Equal(got.body, events(1, 30))
 				is.Equal(len(rs[1].Runs()) == 1, tc.moves)
-				is.Equal(rs[0].Runs()[0].Ended, !tc.moves)
+				is.Equal(rs[0].Runs()[0].Completed, !tc.moves)
 			})
 		})
 	}
--- a/internal/relay/older_test.go
+++ b/internal/relay/older_test.go
@@ -41,16 +41,16 @@
 	o.told = append(o.told, at...)
 }
 
-func (o *older) announce(addr string) *peers.Announce {
-	return &peers.Announce{From: peers.Member{Name: addr, Addr: addr, Hall: leadingHall()}, At: o.mirror.At(), Watching: true}
+func (o *older) announce(addr string) *peers.Announcement {
+	return &peers.Announcement{From: peers.Member{Name: addr, Addr: addr, Hall: leadingHall()}, At: o.mirror.At(), Watching: true}
 }
 
 // hears takes what a message tells.
 func (o *older) hears(m any) {
 	switch m := m.(type) {
-	case *peers.Announce:
+	case *peers.Announcement:
 		o.note(m.At)
-		for _, d := range m.Dates {
+		for _, d := range m.ChangeAges {
 			o.note(d.Rev)
 		}
 	case *peers.Records:
@@ -68,16 +68,16 @@
 // addOlderOne adds a gateway of an older build that has read the store.
 func (w *world) addOlderOne(addr string) *older {
 	o := &older{}
-	w.store.NoEra.Store(true)
+	w.store.OmitEra.Store(true)
 	s := &platform.Store{Addr: "store:1", HTTP: &http.Client{Transport: &simnet.Transport{Find: func(string) http.Handler { return w.store }}}}
 	d, err := s.Whole(context.Background())
-	w.store.NoEra.Store(false)
+	w.store.OmitEra.Store(false)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	o.mirror.Apply(d)
 	var hs wire.Handlers
-	wire.On(&hs, func(ctx context.Context, s *wire.Stream, m *peers.Announce) {
+	wire.On(&hs, func(ctx context.Context, s *wire.Stream, m *peers.Announcement) {
 		o.hears(m)
 		_ = s.SendLast(ctx, o.announce(addr))
 	})
@@ -102,11 +102,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	pool := &wire.Pool{
 		Local: wire.Hello{Cluster: "c", Box: addr, Hall: hall, Role: "gateway", Incarnation: 9}, Codec: codec, Handlers: hs, Lifetime: ctx,
-		Options: wire.Options{PingEvery: time.Second, StallAfter: 3 * time.Second},
+		Options: wire.Options{PingInterval: time.Second, StallTimeout: 3 * time.Second},
 		Dial:    func(ctx context.Context, to string) (net.Conn, error) { return w.net.Dial(ctx, addr, to) },
 	}
 	srv := &wire.Server{Local: pool.Local, Codec: codec, Handlers: hs, Options: pool.Options}
-	w.net.Add(&simnet.End{Name: addr, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: srv.One})
+	w.net.Add(&simnet.End{Name: addr, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: srv.ServeConn})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -132,7 +132,7 @@
 		return
 	}
 	o.hears(m)
-	if a, ok := m.(*peers.Announce); ok && a.At > o.mirror.At() {
+	if a, ok := m.(*peers.Announcement); ok && a.At > o.mirror.At() {
 		if m, err = c.Call(ctx, &peers.Pull{Since: o.mirror.At()}); err == nil {
 			o.hears(m)
 		}
@@ -187,10 +187,10 @@
 				w.drill(func() { w.changes(4) })
 			}
 			time.Sleep(2 * time.Second)
-			pages = w.store.Pages()
+			pages = w.store.PageReads()
 			w.store.Put("op/config", withoutSafe(2))
 			time.Sleep(2 * time.Second)
-			pages = w.store.Pages() - pages
+			pages = w.store.PageReads() - pages
 			got = w.statuses("/safe/", nil)
 			at, newest = o.mirror.At(), mirror.NewPosition(0, w.store.Revision())
 		})
--- a/internal/relay/overtaken_test.go
+++ b/internal/relay/overtaken_test.go
@@ -60,7 +60,7 @@
 func beganLate(rs []*platformtest.Replica, named time.Time) (ids []string) {
 	for _, r := range rs {
 		for _, run := range r.Runs() {
-			if run.Version == 1 && run.Began.Sub(named) > versionWithin {
+			if run.Version == 1 && run.StartedAt.Sub(named) > versionWithin {
 				ids = append(ids, run.ID)
 			}
 		}
@@ -78,7 +78,7 @@
 		named := w.queueBeforeTheEnd(target)
 		then(w)
 		time.Sleep(versionWithin)
-		asked, late = r.Asked(), beganLate(rs, named)
+		asked, late = r.RequestCount(), beganLate(rs, named)
 	})
 	return asked, late
 }
@@ -109,7 +109,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			r := oneSlot()
-			r.Keeps = tc.keeps
+			r.IgnoresDisconnect = tc.keeps
 			asked, late := afterTheEnd(t, r, held, "/s/", tc.then)
 			is.Equal(asked, 2)
 			is.Equal(late, nil)
@@ -129,7 +129,7 @@
 		w.agents(held)
 		named := w.queueBeforeTheEnd("/once/")
 		time.Sleep(versionWithin)
-		asked, late = rs[0].Asked(), beganLate(rs, named)
+		asked, late = rs[0].RequestCount(), beganLate(rs, named)
 	})
 	check.Equal(asked, 2)
 	check.Equal(late, nil)
--- a/internal/relay/permit.go
+++ b/internal/relay/permit.go
@@ -21,23 +21,23 @@
 // first of those that live in an order that all share, and the others ask it for a permit for
 // each request. Without its word nothing is sent there.
 const (
-	permitIn        = 80 * time.Millisecond  // An answer that takes longer is given up, and its permit is lost.
-	permitFor       = time.Second            // A request that has a permit is sent within this, or not there.
-	permitAgain     = 300 * time.Millisecond // A limiter that does not answer is left alone for this.
-	permitElsewhere = 50 * time.Millisecond  // The same where another gateway is the limiter by now.
-	permitsAsked    = 8                      // For one send of a request.
-	ownUnasked      = time.Minute            // A limit that nobody asks about is forgotten.
+	permitTimeout     = 80 * time.Millisecond  // An answer that takes longer is given up, and its permit is lost.
+	permitTTL         = time.Second            // A request that has a permit is sent within this, or not there.
+	limiterRetryDelay = 300 * time.Millisecond // A limiter that does not answer is left alone for this.
+	limiterMovedDelay = 50 * time.Millisecond  // The same where another gateway is the limiter by now.
+	maxPermitRequests = 8                      // For one send of a request.
+	limiterStateTTL   = time.Minute            // A limit that nobody asks about is forgotten.
 )
 
-// ownLimit is the limit of a replica of which this gateway is the limiter.
-type ownLimit struct {
-	life    fleet.Life
-	permits limit.Permits
-	asked   time.Time // When a permit was last asked for.
+// limiterState is the limit of a replica of which this gateway is the limiter.
+type limiterState struct {
+	life      fleet.Incarnation
+	permits   limit.Permits
+	lastAsked time.Time // When a permit was last asked for.
 }
 
-// limiterKey orders the gateways that may be the limiter of a replica.
-const limiterKey = "limit/"
+// limiterKeyPrefix orders the gateways that may be the limiter of a replica.
+const limiterKeyPrefix = "limit/"
 
 // limiter is who gives permits for a replica, as far as a gateway knows.
 type limiter struct {
@@ -51,156 +51,156 @@
 	for i, m := range members {
 		addrs[i] = m.Addr
 	}
-	return limiter{rendezvous.First(limiterKey+replica, addrs), len(addrs), max(len(addrs), g.gossip.Known())}
+	return limiter{rendezvous.First(limiterKeyPrefix+replica, addrs), len(addrs), max(len(addrs), g.gossip.KnownCount())}
 }
 
-// part is how much of a limit the limiter gives out: gateways that have fallen silent may be
+// share is how much of a limit the limiter gives out: gateways that have fallen silent may be
 // cut off with a limiter of their own.
-func (k limiter) part(perSecond float64) float64 {
+func (k limiter) share(perSecond float64) float64 {
 	return perSecond * float64(k.live) / float64(k.known)
 }
 
 // hasPermit reports whether a request may be sent to the replica that was chosen: it has no
 // limit, or there is a permit.
 func (g *Relay) hasPermit(ctx context.Context, rq *request, to *route.Choice) bool {
-	return !to.Limit.Named || g.takePermit(ctx, rq, to)
+	return !to.Limit.Named || g.obtainPermit(ctx, rq, to)
 }
 
-// takePermit asks for a permit for a request at the replica that was chosen, and reports whether
+// obtainPermit asks for a permit for a request at the replica that was chosen, and reports whether
 // it has one. If not, the table knows when to ask again.
-func (g *Relay) takePermit(ctx context.Context, rq *request, to *route.Choice) bool {
+func (g *Relay) obtainPermit(ctx context.Context, rq *request, to *route.Choice) bool {
 	now := time.Now()
-	ask := &peers.AskPermit{Word: wordOf(to.Life, to.Limit, now), Rank: rq.rank}
+	ask := &peers.PermitRequest{Word: limitMessage(to.Incarnation, to.Limit, now), Rank: rq.rank}
 	k := g.limiterOf(to.ID)
-	if again := g.silentUntil(now, k.addr); !again.IsZero() {
-		g.table.NoPermit(to.Ticket, 0, again)
+	if again := g.limiterBackoffUntil(now, k.addr); !again.IsZero() {
+		g.table.RecordNoPermit(to.Reservation, 0, again)
 		return false
 	}
-	p, err := g.askPermit(ctx, k, ask)
+	p, err := g.requestPermit(ctx, k, ask)
 	switch {
 	case err != nil && ctx.Err() != nil:
 		return false // Its caller has gone.
 	case err != nil:
-		again := time.Now().Add(permitAgain)
-		g.silence(k.addr, again)
-		g.table.NoPermit(to.Ticket, 0, again)
+		again := time.Now().Add(limiterRetryDelay)
+		g.backOffLimiter(k.addr, again)
+		g.table.RecordNoPermit(to.Reservation, 0, again)
 		g.Metrics.Event("permit_not_asked", string(fault.CodeOf(err)))
 		telemetry.Log("permit_not_asked", "id", to.ID, "limiter", k.addr, "reason", fault.CodeOf(err), "limit", to.Limit, "gateways", k.live, "known", k.known)
 		return false
 	case p.NotLimiter:
 		g.Metrics.Event("permit_not_kept", "")
-		g.table.NoPermit(to.Ticket, 0, now.Add(permitElsewhere))
+		g.table.RecordNoPermit(to.Reservation, 0, now.Add(limiterMovedDelay))
 		return false
 	}
-	g.learnLimit(&p.Word, now.Add(-p.Word.AskedAge), k.addr)
+	g.mergeLimit(&p.Word, now.Add(-p.Word.AskedAge), k.addr)
 	if !p.Given {
 		g.Metrics.Event("permit_refused", "")
-		g.table.NoPermit(to.Ticket, rq.rank, time.Now().Add(p.NextIn))
+		g.table.RecordNoPermit(to.Reservation, rq.rank, time.Now().Add(p.NextIn))
 		return false
 	}
-	g.table.Permit(to.Ticket, now.Add(permitFor))
+	g.table.RecordPermit(to.Reservation, now.Add(permitTTL))
 	return true
 }
 
-// silentUntil is until when a limiter is left alone that did not answer; zero if it is not.
-func (g *Relay) silentUntil(now time.Time, limiter string) time.Time {
+// limiterBackoffUntil is until when a limiter is left alone that did not answer; zero if it is not.
+func (g *Relay) limiterBackoffUntil(now time.Time, limiter string) time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if until := g.silent[limiter]; until.After(now) {
+	if until := g.limiterBackoff[limiter]; until.After(now) {
 		return until
 	}
 	return time.Time{}
 }
 
-// silence leaves a limiter alone until a time, for all replicas that it is the limiter of: each
+// backOffLimiter leaves a limiter alone until a time, for all replicas that it is the limiter of: each
 // request would else wait for it again.
-func (g *Relay) silence(limiter string, until time.Time) {
+func (g *Relay) backOffLimiter(limiter string, until time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.silent[limiter] = until
+	g.limiterBackoff[limiter] = until
 }
 
-// askPermit asks a limiter, which may be this gateway.
-func (g *Relay) askPermit(ctx context.Context, k limiter, ask *peers.AskPermit) (*peers.Permit, error) {
+// requestPermit asks a limiter, which may be this gateway.
+func (g *Relay) requestPermit(ctx context.Context, k limiter, ask *peers.PermitRequest) (*peers.Permit, error) {
 	if k.addr == g.Settings.Listen {
-		return g.givePermit(time.Now(), ask, g.Settings.Box), nil
+		return g.grantPermit(time.Now(), ask, g.Settings.Box), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, permitIn)
+	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	return g.gossip.AskPermitOf(ctx, k.addr, ask)
+	return g.gossip.RequestPermit(ctx, k.addr, ask)
 }
 
-func (g *Relay) serveAskPermit(ctx context.Context, s *wire.Stream, m *peers.AskPermit) {
+func (g *Relay) serveAskPermit(ctx context.Context, s *wire.Stream, m *peers.PermitRequest) {
 	if !m.Word.Valid() {
 		_ = s.Fail(ctx, fault.New(fault.BadRequest, "limit"))
 		return
 	}
-	_ = s.SendLast(ctx, g.givePermit(time.Now(), m, s.Conn().Remote().Box))
+	_ = s.SendLast(ctx, g.grantPermit(time.Now(), m, s.Conn().Remote().Box))
 }
 
-// givePermit answers who asks for a permit, as the limiter of its replica.
-func (g *Relay) givePermit(now time.Time, m *peers.AskPermit, from string) *peers.Permit {
+// grantPermit answers who asks for a permit, as the limiter of its replica.
+func (g *Relay) grantPermit(now time.Time, m *peers.PermitRequest, from string) *peers.Permit {
 	k := g.limiterOf(m.Word.ID)
-	if k.addr != g.Settings.Listen || !g.knowsOthers() {
-		g.forgetLimit(m.Word.ID)
+	if k.addr != g.Settings.Listen || !g.membersLearnt() {
+		g.deleteLimiterState(m.Word.ID)
 		return &peers.Permit{NotLimiter: true, Word: m.Word}
 	}
-	g.hearLimitWord(&m.Word, now, permitIn, from)
+	g.receiveLimit(&m.Word, now, permitTimeout, from)
 	l := g.table.Limit(m.Word.Life())
-	p := &peers.Permit{Word: wordOf(m.Word.Life(), l, now)}
+	p := &peers.Permit{Word: limitMessage(m.Word.Life(), l, now)}
 	if !l.Named {
 		p.Given = true
 		return p
 	}
 	var next time.Time
-	p.Given, next = g.permitOf(now, m.Word.Life(), k.part(l.PerSecond), m.Rank)
+	p.Given, next = g.issuePermit(now, m.Word.Life(), k.share(l.PerSecond), m.Rank)
 	if !p.Given {
 		p.NextIn = next.Sub(now)
 		return p
 	}
-	telemetry.Log("permit_given", "id", m.Word.ID, "to", from, "rank", m.Rank, "limit", l, "part", k.part(l.PerSecond), "gateways", k.live, "known", k.known)
+	telemetry.Log("permit_given", "id", m.Word.ID, "to", from, "rank", m.Rank, "limit", l, "part", k.share(l.PerSecond), "gateways", k.live, "known", k.known)
 	return p
 }
 
-// knowsOthers reports whether this gateway has asked all that it was told to join: one that
+// membersLearnt reports whether this gateway has asked all that it was told to join: one that
 // has just started knows of itself alone, and takes itself for the limiter of every limit.
-func (g *Relay) knowsOthers() bool {
+func (g *Relay) membersLearnt() bool {
 	select {
-	case <-g.gossip.Learnt():
+	case <-g.gossip.JoinAttempted():
 		return true
 	default:
 		return false
 	}
 }
 
-// permitOf takes a permit for a replica of which this gateway is the limiter.
-func (g *Relay) permitOf(now time.Time, l fleet.Life, perSecond float64, rank int) (bool, time.Time) {
+// issuePermit takes a permit for a replica of which this gateway is the limiter.
+func (g *Relay) issuePermit(now time.Time, l fleet.Incarnation, perSecond float64, rank int) (bool, time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	own := g.ownLimits[l.ID]
+	own := g.limiterStates[l.ID]
 	if own == nil || own.life.Before(l) {
-		own = &ownLimit{life: l}
-		g.ownLimits[l.ID] = own
+		own = &limiterState{life: l}
+		g.limiterStates[l.ID] = own
 	}
-	own.asked = now
+	own.lastAsked = now
 	return own.permits.Take(now, perSecond, rank)
 }
 
-// forgetLimit forgets a limit of which another gateway is the limiter now: if this one is it
+// deleteLimiterState forgets a limit of which another gateway is the limiter now: if this one is it
 // again later, what the other gave is not known, and it begins without free permits.
-func (g *Relay) forgetLimit(replica string) {
+func (g *Relay) deleteLimiterState(replica string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.ownLimits, replica)
+	delete(g.limiterStates, replica)
 }
 
-// sweepLimits forgets limits of which this gateway is no longer the limiter or nobody has asked
+// sweepLimiters forgets limits of which this gateway is no longer the limiter or nobody has asked
 // for long, and which limiters were silent.
-func (g *Relay) sweepLimits(now time.Time) {
+func (g *Relay) sweepLimiters(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	maps.DeleteFunc(g.ownLimits, func(id string, l *ownLimit) bool {
-		return now.Sub(l.asked) > ownUnasked || g.limiterOf(id).addr != g.Settings.Listen
+	maps.DeleteFunc(g.limiterStates, func(id string, l *limiterState) bool {
+		return now.Sub(l.lastAsked) > limiterStateTTL || g.limiterOf(id).addr != g.Settings.Listen
 	})
-	maps.DeleteFunc(g.silent, func(_ string, until time.Time) bool { return !until.After(now) })
+	maps.DeleteFunc(g.limiterBackoff, func(_ string, until time.Time) bool { return !until.After(now) })
 }
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -12,30 +12,30 @@
 	"github.com/poststand/poststand/route"
 )
 
-// mostAttempts bounds the attempts of one request.
-const mostAttempts = 5
+// maxAttempts bounds the attempts of one request.
+const maxAttempts = 5
 
 // process sends a request until its outcome is final.
 func (g *Relay) process(ctx context.Context, rq *request, out *answer) dispatch.Result {
-	if now := time.Now(); !g.leaving.Load().admits(now, rq) {
-		return dispatch.Result{Outcome: dispatch.NotRun, Reason: fault.Draining, RetryAt: now.Add(elsewhereIn())}
+	if now := time.Now(); !g.stopping.Load().admits(now, rq) {
+		return dispatch.Result{Outcome: dispatch.NotRun, Reason: fault.Draining, RetryAt: now.Add(drainRetryDelay())}
 	}
-	if g.quarantined(time.Now(), rq) {
-		return dispatch.Result{Outcome: dispatch.NotRun, Reason: fault.Quarantined, RetryAt: rq.known.Until}
+	if g.isQuarantined(time.Now(), rq) {
+		return dispatch.Result{Outcome: dispatch.NotRun, Reason: fault.Quarantined, RetryAt: rq.verdict.Until}
 	}
-	window := g.window(rq.service)
-	window.Request(rq.arrived)
-	var all dispatch.Trail
+	window := g.retryWindow(rq.service)
+	window.RecordRequest(rq.arrivedAt)
+	var all dispatch.Attempts
 	exclude := map[string]bool{}
 	arrivals, runs := 0, 0 // Sends that reached a replica, and those that may have run.
 	last := notRun(fault.NoUpstream)
 	defer func() {
 		if rq.next != nil { // It was begun and is not used.
 			rq.next.release(false)
-			g.table.Done(time.Now(), rq.next.to.Ticket, route.End{})
+			g.table.Done(time.Now(), rq.next.to.Reservation, route.RequestResult{})
 		}
 	}()
-	for rq.attempts < mostAttempts {
+	for rq.attempts < maxAttempts {
 		now := time.Now()
 		if !now.Before(rq.deadline) {
 			last = all.Add(notRun(fault.PastDeadline))
@@ -54,12 +54,12 @@
 				break
 			}
 			rq.attempts++
-			a = &attempt{relay: g, rq: rq, out: out, to: choice, round: rq.nextRound(), epoch: rq.known.Epoch}
+			a = &attempt{relay: g, rq: rq, out: out, to: choice, round: rq.nextStrikeRound(), epoch: rq.verdict.Epoch}
 		}
 		exclude[a.to.ID] = true
 		own := a.run(ctx)
-		rq.note(a, own)
-		a.settle(own)
+		rq.recordAttempt(a, own)
+		a.updateSuspects(own)
 		if reached(own) {
 			arrivals++
 		}
@@ -70,18 +70,18 @@
 		if own.Outcome == dispatch.Done {
 			return own
 		}
-		if ctx.Err() != nil || !mayGoOn(rq, out, own) || runs >= max(1, rq.route.Attempts) {
+		if ctx.Err() != nil || !mayRetry(rq, out, own) || runs >= max(1, rq.route.Attempts) {
 			break
 		}
-		if g.quarantined(time.Now(), rq) {
+		if g.isQuarantined(time.Now(), rq) {
 			break
 		}
 		g.Metrics.Retried(own.Reason)
 	}
 	if last.Outcome == dispatch.NotRun && last.RetryAt.IsZero() {
-		last.RetryAt = g.comeBack(time.Now(), rq, 0)
+		last.RetryAt = g.retryTime(time.Now(), rq, 0)
 	}
-	if last.Outcome != dispatch.Done && !out.started && ctx.Err() == nil && out.giveFailed() {
+	if last.Outcome != dispatch.Done && !out.started && ctx.Err() == nil && out.writeFailure() {
 		return dispatch.Result{Outcome: dispatch.Done, Reason: fault.UpstreamFailed}
 	}
 	return last
@@ -92,29 +92,29 @@
 func (g *Relay) choose(ctx context.Context, rq *request, exclude map[string]bool, arrivals int) (route.Choice, dispatch.Result, bool) {
 	for asked := 0; ; asked++ {
 		now := time.Now()
-		choice, err := g.table.Pick(now, rq.ask(g, exclude))
-		rq.seen = choice.Seen
+		choice, err := g.table.Pick(now, rq.routeAsk(g, exclude))
+		rq.replicaStates = choice.Availability
 		if err != nil {
-			return choice, g.noneFor(now, rq, choice, err), false
+			return choice, g.noReplicaResult(now, rq, choice, err), false
 		}
-		rq.chosen(g, now, choice)
+		rq.recordChoice(g, now, choice)
 		if arrivals == 0 && !admits(rq, choice) {
-			g.table.Done(now, choice.Ticket, route.End{})
+			g.table.Done(now, choice.Reservation, route.RequestResult{})
 			res := notRun(fault.QueueFull)
-			res.RetryAt = g.comeBack(now, rq, choice.Wait)
+			res.RetryAt = g.retryTime(now, rq, choice.QueueWait)
 			return choice, res, false
 		}
 		if !g.hasPermit(ctx, rq, &choice) {
-			g.table.Done(time.Now(), choice.Ticket, route.End{})
-			if asked < permitsAsked && ctx.Err() == nil {
+			g.table.Done(time.Now(), choice.Reservation, route.RequestResult{})
+			if asked < maxPermitRequests && ctx.Err() == nil {
 				continue
 			}
 			res := notRun(fault.UpstreamLimited)
-			res.RetryAt = afterRest(now, now)
+			res.RetryAt = retryAfterRest(now, now)
 			return choice, res, false
 		}
-		if arrivals > 0 && !g.window(rq.service).Spend(now, g.slack()) {
-			g.table.Done(now, choice.Ticket, route.End{})
+		if arrivals > 0 && !g.retryWindow(rq.service).Spend(now, g.retrySlack()) {
+			g.table.Done(now, choice.Reservation, route.RequestResult{})
 			g.Metrics.Event("retry_budget_spent", "")
 			return choice, notRun(fault.RetryBudget), false
 		}
@@ -122,23 +122,23 @@
 	}
 }
 
-// noneFor is the result of a request for which no replica could be chosen.
-func (g *Relay) noneFor(now time.Time, rq *request, choice route.Choice, err error) dispatch.Result {
-	rq.holding = fmt.Sprint(g.table.Holding(now, rq.service))
+// noReplicaResult is the result of a request for which no replica could be chosen.
+func (g *Relay) noReplicaResult(now time.Time, rq *request, choice route.Choice, err error) dispatch.Result {
+	rq.replicaVersions = fmt.Sprint(g.table.CountByVersion(now, rq.service))
 	res := notRun(fault.CodeOf(err))
-	res.RetryAt = g.comeBack(now, rq, 0)
+	res.RetryAt = g.retryTime(now, rq, 0)
 	if res.Reason == fault.UpstreamResting || res.Reason == fault.UpstreamLimited {
-		res.RetryAt = afterRest(now, choice.Seen.BackAt)
+		res.RetryAt = retryAfterRest(now, choice.Availability.BackAt)
 	}
 	return res
 }
 
-// chosen notes what is known of the replica that a send goes to.
-func (rq *request) chosen(g *Relay, now time.Time, c route.Choice) {
-	rq.predicted, rq.wait, rq.reportAge = c.Predicted, c.Wait, c.ReportAge
-	rq.held, rq.boundIn, rq.listedAt = c.Version, 0, c.ListedAt
-	if bound := g.bound(rq, c.Version); c.Engine && !bound.IsZero() {
-		rq.boundIn = bound.Sub(now)
+// recordChoice notes what is known of the replica that a send goes to.
+func (rq *request) recordChoice(g *Relay, now time.Time, c route.Choice) {
+	rq.predicted, rq.queueWait, rq.reportAge = c.Predicted, c.QueueWait, c.ReportAge
+	rq.heldVersion, rq.versionLeft, rq.listedAt = c.Version, 0, c.ListedAt
+	if bound := g.versionDeadline(rq, c.Version); c.Engine && !bound.IsZero() {
+		rq.versionLeft = bound.Sub(now)
 	}
 }
 
@@ -151,45 +151,45 @@
 	return true
 }
 
-// mayGoOn reports whether the request may be sent once more after a send that
+// mayRetry reports whether the request may be sent once more after a send that
 // ended so.
-func mayGoOn(rq *request, out *answer, own dispatch.Result) bool {
+func mayRetry(rq *request, out *answer, own dispatch.Result) bool {
 	if own.Outcome == dispatch.NotRun && !out.started {
 		return true
 	}
 	if !rq.repeatable() {
 		return false
 	}
-	return !out.started || rq.route.Resumable && rq.lastEvent != ""
+	return !out.started || rq.route.Resumable && rq.lastEventID != ""
 }
 
-// note adds what became of a send to the request's story.
-func (rq *request) note(a *attempt, res dispatch.Result) {
+// recordAttempt adds what became of a send to the request's story.
+func (rq *request) recordAttempt(a *attempt, res dispatch.Result) {
 	ending := string(res.Reason)
 	if ending == "" {
 		ending = "done"
 	}
-	rq.trail = append(rq.trail, a.to.ID+"="+ending)
+	rq.attemptResults = append(rq.attemptResults, a.to.ID+"="+ending)
 }
 
-// retryIn is when a refused caller is told to come back, in milliseconds.
-func retryIn(res dispatch.Result, now time.Time) int64 {
+// retryInMillis is when a refused caller is told to come back, in milliseconds.
+func retryInMillis(res dispatch.Result, now time.Time) int64 {
 	if res.RetryAt.IsZero() {
 		return 0
 	}
 	return res.RetryAt.Sub(now).Milliseconds()
 }
 
-// logEnd writes the one line that tells a request's story.
-func (g *Relay) logEnd(rq *request, out *answer, res dispatch.Result) {
+// logRequest writes the one line that tells a request's story.
+func (g *Relay) logRequest(rq *request, out *answer, res dispatch.Result) {
 	now := time.Now()
 	first := -time.Millisecond
 	if !out.firstAt.IsZero() {
-		first = out.firstAt.Sub(rq.arrived)
+		first = out.firstAt.Sub(rq.arrivedAt)
 	}
 	telemetry.Log("request", "id", rq.id, "key", rq.key, "route", rq.routeName, "service", rq.service, "organisation", rq.organisation,
-		"outcome", res.Outcome, "reason", res.Reason, "attempts", strings.Join(rq.trail, ","),
-		"predicted_ms", rq.predicted.Milliseconds(), "wait_ms", rq.wait.Milliseconds(), "report_age_ms", rq.reportAge.Milliseconds(),
-		"client_retry", rq.retried, "holding", rq.holding, "retry_in_ms", retryIn(res, now), "first_ms", first.Milliseconds(), "pause_ms", out.pause.Milliseconds(), "took_ms", now.Sub(rq.arrived).Milliseconds(), "left_ms", rq.deadline.Sub(now).Milliseconds(),
-		"prompt", rq.work.Prompt, "weights", rq.version, "held", rq.held, "held_for_ms", rq.boundIn.Milliseconds(), "listed_at", rq.listedAt, "seen", rq.seen, "limit", rq.limit, "sent_4s", rq.sent, "revision", rq.catalog.At, "version", rq.catalog.Version)
+		"outcome", res.Outcome, "reason", res.Reason, "attempts", strings.Join(rq.attemptResults, ","),
+		"predicted_ms", rq.predicted.Milliseconds(), "wait_ms", rq.queueWait.Milliseconds(), "report_age_ms", rq.reportAge.Milliseconds(),
+		"client_retry", rq.retried, "holding", rq.replicaVersions, "retry_in_ms", retryInMillis(res, now), "first_ms", first.Milliseconds(), "pause_ms", out.longestGap.Milliseconds(), "took_ms", now.Sub(rq.arrivedAt).Milliseconds(), "left_ms", rq.deadline.Sub(now).Milliseconds(),
+		"prompt", rq.work.PromptTokens, "weights", rq.version, "held", rq.heldVersion, "held_for_ms", rq.versionLeft.Milliseconds(), "listed_at", rq.listedAt, "seen", rq.replicaStates, "limit", rq.limit, "sent_4s", rq.recentSends, "revision", rq.catalog.Position, "version", rq.catalog.Version)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -65,8 +65,8 @@
 func TestUnsafeRunsAtMostOnce(t *testing.T) {
 	rs := plain(3)
 	for _, r := range rs {
-		r.Act = func(_ int, x *platformtest.Exchange) bool {
-			x.Run()
+		r.Handle = func(_ int, x *platformtest.Exchange) bool {
+			x.RecordRun()
 			_ = x.Conn.Close()
 			return true
 		}
@@ -81,7 +81,7 @@
 // A refusal that says "not run" lets an unsafe request go elsewhere.
 func TestUnsafeGoesElsewhereOnlyWhenItDidNotRun(t *testing.T) {
 	rs := plain(2)
-	rs[0].Act = func(_ int, x *platformtest.Exchange) bool {
+	rs[0].Handle = func(_ int, x *platformtest.Exchange) bool {
 		x.Printf("HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
@@ -97,7 +97,7 @@
 // A surplus answer in the place of the next one is passed over.
 func TestSurplusAnswerGoesToNobody(t *testing.T) {
 	rs := plain(1)
-	rs[0].Act = func(n int, x *platformtest.Exchange) bool {
+	rs[0].Handle = func(n int, x *platformtest.Exchange) bool {
 		if n > 0 {
 			x.Printf("HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Replica-Signature: s\r\nContent-Length: 5\r\n\r\nstray")
 		}
@@ -115,8 +115,8 @@
 func TestShortAnswerIsNotComplete(t *testing.T) {
 	rs := plain(2)
 	for _, r := range rs {
-		r.Act = func(_ int, x *platformtest.Exchange) bool {
-			x.Run()
+		r.Handle = func(_ int, x *platformtest.Exchange) bool {
+			x.RecordRun()
 			x.Printf("%sContent-Length: 100\r\n\r\nonly this", x.Head(200, ""))
 			_ = x.Conn.Close()
 			return true
@@ -132,8 +132,8 @@
 func TestFailureOfAReplicaIsPassedOn(t *testing.T) {
 	rs := plain(3)
 	for _, r := range rs {
-		r.Act = func(_ int, x *platformtest.Exchange) bool {
-			x.Run()
+		r.Handle = func(_ int, x *platformtest.Exchange) bool {
+			x.RecordRun()
 			x.Printf("%sContent-Length: 4\r\n\r\nfail", x.Head(500, ""))
 			return true
 		}
@@ -153,11 +153,11 @@
 	rs := engines(3, 6)
 	var broke atomic.Bool
 	for _, r := range rs {
-		r.Act = func(_ int, x *platformtest.Exchange) bool {
+		r.Handle = func(_ int, x *platformtest.Exchange) bool {
 			if broke.Swap(true) {
 				return false
 			}
-			x.Run()
+			x.RecordRun()
 			x.Printf("%s", x.Head(200, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"))
 			x.Event(1)
 			x.Event(2)
@@ -174,7 +174,7 @@
 		is.Equal(runs(rs), 2)
 		for _, r := range rs {
 			for _, run := range r.Runs() {
-				if run.Ended {
+				if run.Completed {
 					is.Equal(run.Header.Get("Last-Event-Id"), "2")
 					is.Equal(run.Header.Get("X-Expect-Version"), "1") // One answer, one version.
 				} else {
@@ -189,8 +189,8 @@
 func TestStreamThatCannotGoOnLooksCut(t *testing.T) {
 	rs := engines(2, 6)
 	for _, r := range rs {
-		r.Act = func(_ int, x *platformtest.Exchange) bool {
-			x.Run()
+		r.Handle = func(_ int, x *platformtest.Exchange) bool {
+			x.RecordRun()
 			x.Printf("%s", x.Head(200, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"))
 			x.Event(1)
 			time.Sleep(10 * time.Millisecond)
@@ -208,8 +208,8 @@
 func TestCallerThatLeavesEndsTheWork(t *testing.T) {
 	rs := engines(1, 100)
 	var closed atomic.Int64 // Nanoseconds from the first event to the end of the connection.
-	rs[0].Act = func(_ int, x *platformtest.Exchange) bool {
-		x.Run()
+	rs[0].Handle = func(_ int, x *platformtest.Exchange) bool {
+		x.RecordRun()
 		began := time.Now()
 		x.Printf("%s", x.Head(200, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"))
 		x.Event(1)
@@ -231,11 +231,11 @@
 func TestSilentReplicaIsLeft(t *testing.T) {
 	rs := engines(2, 3)
 	for _, r := range rs {
-		r.Act = func(n int, x *platformtest.Exchange) bool {
+		r.Handle = func(n int, x *platformtest.Exchange) bool {
 			if runs(rs) > 0 {
 				return false
 			}
-			x.Run()
+			x.RecordRun()
 			time.Sleep(time.Hour)
 			return true
 		}
@@ -285,9 +285,9 @@
 		time.Sleep(50 * time.Millisecond)
 		is.Equal(w.ask(0, "POST", "/s/", nil).status, http.StatusServiceUnavailable)
 		is.Equal(runs(rs), before)
-		asked := rs[0].Asked()
+		asked := rs[0].RequestCount()
 		is.Equal(w.ask(0, "POST", "/s/", nil).status, http.StatusServiceUnavailable)
-		is.Equal(rs[0].Asked(), asked) // It refused a moment ago; nothing newer is known of it.
+		is.Equal(rs[0].RequestCount(), asked) // It refused a moment ago; nothing newer is known of it.
 		rs[0].SetVersion(3)
 		time.Sleep(2 * time.Second)
 		is.Equal(w.ask(0, "POST", "/s/", nil).status, http.StatusOK)
@@ -301,7 +301,7 @@
 	rs := engines(1, 2)
 	var named time.Time
 	var late atomic.Int64
-	rs[0].Act = func(int, *platformtest.Exchange) bool {
+	rs[0].Handle = func(int, *platformtest.Exchange) bool {
 		if !named.IsZero() && time.Since(named) > within {
 			late.Add(1)
 		}
--- a/internal/relay/rest_test.go
+++ b/internal/relay/rest_test.go
@@ -47,9 +47,9 @@
 	} {
 		t.Run(value, func(t *testing.T) {
 			rs := plain(1)
-			rs[0].Act = func(n int, x *platformtest.Exchange) bool {
+			rs[0].Handle = func(n int, x *platformtest.Exchange) bool {
 				if n == 0 {
-					x.TurnAway(value)
+					x.Reject(value)
 				}
 				return n == 0
 			}
@@ -78,7 +78,7 @@
 					t.Errorf("%d after the rest", got)
 				}
 			})
-			check.Equal(len(rs[0].Unheard()), 0)
+			check.Equal(len(rs[0].Violations()), 0)
 		})
 	}
 }
@@ -89,9 +89,9 @@
 	rs, first, second := plain(2), reply{}, reply{}
 	rests := []string{"3", "5"}
 	for i, r := range rs {
-		r.Act = func(n int, x *platformtest.Exchange) bool {
+		r.Handle = func(n int, x *platformtest.Exchange) bool {
 			if n == 0 {
-				x.TurnAway(rests[i])
+				x.Reject(rests[i])
 			}
 			return n == 0
 		}
@@ -121,9 +121,9 @@
 	rs := plain(1)
 	var mu sync.Mutex
 	var came []time.Time
-	rs[0].Act = func(n int, x *platformtest.Exchange) bool {
+	rs[0].Handle = func(n int, x *platformtest.Exchange) bool {
 		if n == 0 {
-			x.TurnAway("2")
+			x.Reject("2")
 			return true
 		}
 		mu.Lock()
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -14,14 +14,14 @@
 
 // Times of a relay's life.
 const (
-	noticeFor   = 3200 * time.Millisecond // Two misses of the balancer, and the one it may be about to see.
-	lateAfter   = 2800 * time.Millisecond // By then the balancer has noticed, unless it uses all gateways of a hall as too few are ready.
-	leaveBefore = 300 * time.Millisecond  // Before the process would be killed.
-	answerIn    = 100 * time.Millisecond  // Before it leaves the last answers are given.
-	callersIdle = 2 * time.Minute         // Longer than callers keep a connection.
-	headerIn    = 10 * time.Second
-	headerMost  = 64 << 10
-	learnFor    = 1500 * time.Millisecond // Peers may know a newer configuration than the platform tells.
+	balancerNotice    = 3200 * time.Millisecond // Two misses of the balancer, and the one it may be about to see.
+	streamCutoff      = 2800 * time.Millisecond // By then the balancer has noticed, unless it uses all gateways of a hall as too few are ready.
+	exitMargin        = 300 * time.Millisecond  // Before the process would be killed.
+	answerMargin      = 100 * time.Millisecond  // Before it leaves the last answers are given.
+	callerIdleTimeout = 2 * time.Minute         // Longer than callers keep a connection.
+	readHeaderTimeout = 10 * time.Second
+	maxHeaderBytes    = 64 << 10
+	peerConfigWait    = 1500 * time.Millisecond // Peers may know a newer configuration than the platform tells.
 )
 
 // Ready returns nil while the process may be sent requests.
@@ -29,7 +29,7 @@
 	if g.draining() {
 		return fault.New(fault.Draining, "")
 	}
-	if g.holder.Get().Config == nil {
+	if g.catalog.Get().Config == nil {
 		return fault.New(fault.NotReady, "no configuration")
 	}
 	return nil
@@ -61,10 +61,10 @@
 		lns[i] = ln
 	}
 	var k kernel.Kernel
-	g.Duties(&k)
+	g.AddTasks(&k)
 	srv := g.Server()
 	k.Add("peers", srv, func(ctx context.Context) error { return srv.Serve(ctx, lns[0]) })
-	k.Duty(func(ctx context.Context) error {
+	k.AddTask(func(ctx context.Context) error {
 		return telemetry.ServeHTTP(ctx, lns[1], &http.Server{Handler: g.readiness()})
 	})
 	if s.Admin != "" {
@@ -73,9 +73,9 @@
 			return fault.Wrap(fault.Unreachable, err, "admin")
 		}
 		a := &telemetry.Admin{Metrics: g.Metrics, Ready: g.Ready, Status: func() any { return g.Status() }}
-		k.Duty(func(ctx context.Context) error { return telemetry.ServeHTTP(ctx, admin, a.Server()) })
+		k.AddTask(func(ctx context.Context) error { return telemetry.ServeHTTP(ctx, admin, a.Server()) })
 	}
-	k.Duty(func(own context.Context) error { return g.ServeCallers(ctx, own, lns[2]) })
+	k.AddTask(func(own context.Context) error { return g.ServeCallers(ctx, own, lns[2]) })
 	telemetry.Log("gateway_started", "box", s.Box, "hall", s.Hall, "incarnation", g.pool.Local.Incarnation)
 	defer g.Close()
 	return k.Run(context.Background())
@@ -97,10 +97,10 @@
 
 // Status returns how the relay stands.
 func (g *Relay) Status() *Status {
-	c := g.holder.Get()
+	c := g.catalog.Get()
 	s := &Status{
-		Role: "gateway", Box: g.Settings.Box, Hall: g.Settings.Hall, Revision: c.At.Revision(), Era: c.At.Era(), Version: c.Version,
-		Draining: g.draining(), Watching: g.options.Follow.Watching(), Weights: map[string]map[uint64]int{},
+		Role: "gateway", Box: g.Settings.Box, Hall: g.Settings.Hall, Revision: c.Position.Revision(), Era: c.Position.Era(), Version: c.Version,
+		Draining: g.draining(), Watching: g.options.Follower.Watching(), Weights: map[string]map[uint64]int{},
 	}
 	for _, m := range g.gossip.Live() {
 		s.Peers = append(s.Peers, m.Addr)
@@ -108,7 +108,7 @@
 	if c.Config != nil {
 		for name, svc := range c.Config.Services {
 			if svc.Model != "" {
-				s.Weights[name] = g.table.Holding(time.Now(), name)
+				s.Weights[name] = g.table.CountByVersion(time.Now(), name)
 			}
 		}
 	}
--- a/internal/relay/said_test.go
+++ b/internal/relay/said_test.go
@@ -31,9 +31,9 @@
 }
 
 // unheard lists what came to replicas against what they had said.
-func unheard(rs []*platformtest.Replica) (out []platformtest.Unheard) {
+func unheard(rs []*platformtest.Replica) (out []platformtest.Violation) {
 	for _, r := range rs {
-		out = append(out, r.Unheard()...)
+		out = append(out, r.Violations()...)
 	}
 	return out
 }
@@ -65,11 +65,11 @@
 func (w *world) refusedAtOnce(target string) bool {
 	asked, began := 0, time.Now()
 	for _, r := range w.replicas {
-		asked -= r.Asked()
+		asked -= r.RequestCount()
 	}
 	got := w.ask(0, "POST", target, nil)
 	for _, r := range w.replicas {
-		asked += r.Asked()
+		asked += r.RequestCount()
 	}
 	return got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != "" && time.Since(began) == 0 && asked == 0
 }
@@ -83,22 +83,22 @@
 	}{
 		{"a whole answer", "/safe/", func(*platformtest.Exchange) bool { return false }},
 		{"its own failure", "/safe/", func(x *platformtest.Exchange) bool {
-			x.Run()
+			x.RecordRun()
 			x.Printf("%sContent-Length: 4\r\n\r\nfail", x.Head(500, ""))
 			return true
 		}},
 		{"a refusal", "/unsafe/", func(x *platformtest.Exchange) bool {
-			x.TurnAway("")
+			x.Reject("")
 			return true
 		}},
 		{"an answer that is cut", "/unsafe/", func(x *platformtest.Exchange) bool {
-			x.Run()
+			x.RecordRun()
 			x.Printf("%sContent-Length: 40\r\n\r\nfail", x.Head(200, ""))
 			_ = x.Conn.Close()
 			return true
 		}},
 		{"the head of a stream that has not begun", "/s/", func(x *platformtest.Exchange) bool {
-			x.Run()
+			x.RecordRun()
 			x.Printf("%s", x.Head(200, streamHead))
 			time.Sleep(500 * time.Millisecond)
 			x.Event(1)
@@ -107,12 +107,12 @@
 		}},
 		{"an early answer", "/safe/", func(x *platformtest.Exchange) bool {
 			x.Printf("HTTP/1.1 103 Early Hints\r\nServer-Leaving: 1\r\n\r\n")
-			x.Replica.SayLeaving("")
+			x.Replica.AnnounceLeaving("")
 			return false
 		}},
 		{"a surplus answer", "/safe/", func(x *platformtest.Exchange) bool {
 			x.Printf("HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nServer-Leaving: 1\r\nContent-Length: 0\r\n\r\n")
-			x.Replica.SayLeaving("")
+			x.Replica.AnnounceLeaving("")
 			return false
 		}},
 	}
@@ -122,7 +122,7 @@
 			if tc.target == "/s/" {
 				r = engines(1, 1)[0]
 			}
-			r.Act = func(_ int, x *platformtest.Exchange) bool { return tc.act(x) }
+			r.Handle = func(_ int, x *platformtest.Exchange) bool { return tc.act(x) }
 			refused := false
 			run(t, 1, []*platformtest.Replica{r}, func(_ *is.I, w *world) {
 				r.Leave()
@@ -147,11 +147,11 @@
 			}
 			var first atomic.Pointer[platformtest.Replica]
 			for _, r := range rs {
-				r.Act = func(_ int, x *platformtest.Exchange) bool {
+				r.Handle = func(_ int, x *platformtest.Exchange) bool {
 					if !first.CompareAndSwap(nil, x.Replica) {
 						return false
 					}
-					x.Run()
+					x.RecordRun()
 					if target == "/s/" {
 						x.Printf("%s", x.Head(200, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"))
 						x.Event(1)
@@ -169,11 +169,11 @@
 			status, then := 0, []int(nil)
 			run(t, 1, rs, func(_ *is.I, w *world) {
 				status = w.ask(0, "POST", target, nil).status
-				asked := rs[0].Asked() + rs[1].Asked() - first.Load().Asked()
+				asked := rs[0].RequestCount() + rs[1].RequestCount() - first.Load().RequestCount()
 				for range 5 {
 					w.ask(0, "POST", target, nil)
 				}
-				then = append(then, asked, rs[0].Asked()+rs[1].Asked()-first.Load().Asked())
+				then = append(then, asked, rs[0].RequestCount()+rs[1].RequestCount()-first.Load().RequestCount())
 			})
 			check := is.New(t)
 			check.Equal(status, http.StatusOK)
@@ -192,7 +192,7 @@
 		t.Run(fmt.Sprintf("%.8q", value), func(t *testing.T) {
 			rs, refused := plain(1), false
 			run(t, 1, rs, func(_ *is.I, w *world) {
-				rs[0].SayLeaving(value)
+				rs[0].AnnounceLeaving(value)
 				w.ask(0, "GET", "/safe/", nil)
 				refused = w.refusedAtOnce("/safe/")
 			})
@@ -230,14 +230,14 @@
 				time.Sleep(100 * time.Millisecond)
 				say(rs[0])
 				w.ask(0, "POST", "/unsafe/", nil)
-				asked = rs[0].Asked()
+				asked = rs[0].RequestCount()
 				w.store.Put("servers/p1", rs[1].Record("ready"))
 				<-done
 			})
 			check := is.New(t)
 			check.Equal(late.status, http.StatusOK)
 			check.Equal(late.body, "answer of p1")
-			check.Equal(rs[0].Asked(), asked)
+			check.Equal(rs[0].RequestCount(), asked)
 		})
 	}
 }
@@ -254,7 +254,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			rs, conns, asked := plain(1), []int(nil), 0
-			rs[0].Act = func(int, *platformtest.Exchange) bool {
+			rs[0].Handle = func(int, *platformtest.Exchange) bool {
 				time.Sleep(50 * time.Millisecond) // So that two requests are two connections.
 				return false
 			}
@@ -272,11 +272,11 @@
 				conns = append(conns, rs[0].Conns())
 				tc.say(rs[0])
 				both(w)
-				asked = rs[0].Asked()
+				asked = rs[0].RequestCount()
 				time.Sleep(time.Second)
 				both(w)
 				conns = append(conns, rs[0].Conns())
-				asked = rs[0].Asked() - asked
+				asked = rs[0].RequestCount() - asked
 			})
 			check := is.New(t)
 			check.Equal(conns, []int{2, tc.conns})
@@ -321,7 +321,7 @@
 					time.Sleep(time.Second)
 					say()
 					w.ask(0, "GET", "/safe/", nil)
-					rs[0].SayLeaving("")
+					rs[0].AnnounceLeaving("")
 					rs[0].Shed("")
 					tc.list(w, rs[0])
 					time.Sleep(time.Second)
