--- a/wire/conn.go
+++ b/wire/conn.go
@@ -17,35 +17,35 @@
 
 // Options bounds a connection. The zero value has safe defaults.
 type Options struct {
-	MaxFrame   int           // Bytes in a body; 9 MiB by default.
-	MaxStreams int           // Streams that the peer may have open; 4096 by default.
-	StreamRing int           // Messages buffered for each stream; 512 by default.
-	WriteRing  int           // Frames waiting to be written; 128 by default.
-	Buffer     int           // Bytes gathered into one write, and read ahead; 8 KiB by default.
-	PingEvery  time.Duration // Silence after which a ping is sent; 5 s by default.
-	StallAfter time.Duration // Silence after which the peer is given up; 15 s by default.
-	// Pings, if set, gives PingEvery for a peer as it is now, and StallAfter is then
+	MaxFrame     int           // Bytes in a body; 9 MiB by default.
+	MaxStreams   int           // Streams that the peer may have open; 4096 by default.
+	StreamBuffer int           // Messages buffered for each stream; 512 by default.
+	WriteQueue   int           // Frames waiting to be written; 128 by default.
+	BufferSize   int           // Bytes gathered into one write, and read ahead; 8 KiB by default.
+	PingInterval time.Duration // Silence after which a ping is sent; 5 s by default.
+	StallTimeout time.Duration // Silence after which the peer is given up; 15 s by default.
+	// PingIntervalFor, if set, gives PingEvery for a peer as it is now, and StallAfter is then
 	// some pings. Where it gives zero the two fields above hold.
-	Pings       func(peer Hello) time.Duration
-	HelloWithin time.Duration // Time for the handshake; 5 s by default.
-	Count       func(c fault.Code)
-	Traffic     func(sent, received int) // Bytes of each frame, header included.
+	PingIntervalFor  func(peer Hello) time.Duration
+	HandshakeTimeout time.Duration // Time for the handshake; 5 s by default.
+	OnFault          func(c fault.Code)
+	OnTraffic        func(sent, received int) // Bytes of each frame, header included.
 }
 
 func (o Options) withDefaults() Options {
 	o.MaxFrame = orInt(o.MaxFrame, 9<<20)
 	o.MaxStreams = orInt(o.MaxStreams, 4096)
-	o.StreamRing = orInt(o.StreamRing, 512)
-	o.WriteRing = orInt(o.WriteRing, 128)
-	o.Buffer = orInt(o.Buffer, 8<<10)
-	o.PingEvery = orDuration(o.PingEvery, 5*time.Second)
-	o.StallAfter = orDuration(o.StallAfter, 15*time.Second)
-	o.HelloWithin = orDuration(o.HelloWithin, 5*time.Second)
-	if o.Count == nil {
-		o.Count = func(fault.Code) {}
+	o.StreamBuffer = orInt(o.StreamBuffer, 512)
+	o.WriteQueue = orInt(o.WriteQueue, 128)
+	o.BufferSize = orInt(o.BufferSize, 8<<10)
+	o.PingInterval = orDuration(o.PingInterval, 5*time.Second)
+	o.StallTimeout = orDuration(o.StallTimeout, 15*time.Second)
+	o.HandshakeTimeout = orDuration(o.HandshakeTimeout, 5*time.Second)
+	if o.OnFault == nil {
+		o.OnFault = func(fault.Code) {}
 	}
-	if o.Traffic == nil {
-		o.Traffic = func(int, int) {}
+	if o.OnTraffic == nil {
+		o.OnTraffic = func(int, int) {}
 	}
 	return o
 }
@@ -66,29 +66,29 @@
 
 const headerSize = 4 + 1 + 8
 
-// stallPings is how many pings may go unanswered where Options.Pings is set.
+// stallPings is how many pings may go unanswered where Options.PingIntervalFor is set.
 const stallPings = 4
 
 func (c *Conn) pingEvery() time.Duration {
 	if every := c.pings(); every > 0 {
 		return every
 	}
-	return c.opts.PingEvery
+	return c.opts.PingInterval
 }
 
 func (c *Conn) stallAfter() time.Duration {
 	if every := c.pings(); every > 0 {
 		return stallPings * every
 	}
-	return c.opts.StallAfter
+	return c.opts.StallTimeout
 }
 
-// pings is what Options.Pings gives for the peer, or zero.
+// pings is what Options.PingIntervalFor gives for the peer, or zero.
 func (c *Conn) pings() time.Duration {
-	if c.opts.Pings == nil {
+	if c.opts.PingIntervalFor == nil {
 		return 0
 	}
-	return c.opts.Pings(c.remote)
+	return c.opts.PingIntervalFor(c.remote)
 }
 
 type frame struct {
@@ -123,13 +123,13 @@
 // is closed. The connection lives until Close, an error, or the end of ctx.
 func NewConn(ctx context.Context, nc net.Conn, local Hello, codec *Codec, h *Handlers, dialler bool, opts Options) (*Conn, error) {
 	c := &Conn{nc: nc, codec: codec, serve: h, opts: opts.withDefaults(), streams: map[uint64]*Stream{}}
-	c.out = make(chan frame, c.opts.WriteRing)
+	c.out = make(chan frame, c.opts.WriteQueue)
 	if dialler {
 		c.nextID.Store(1)
 	}
-	r := bufio.NewReaderSize(nc, c.opts.Buffer)
+	r := bufio.NewReaderSize(nc, c.opts.BufferSize)
 	if err := c.handshake(r, local); err != nil {
-		c.opts.Count(fault.CodeOf(err))
+		c.opts.OnFault(fault.CodeOf(err))
 		_ = nc.Close()
 		return nil, err
 	}
@@ -141,7 +141,7 @@
 }
 
 func (c *Conn) handshake(r *bufio.Reader, local Hello) error {
-	if err := c.nc.SetDeadline(time.Now().Add(c.opts.HelloWithin)); err != nil {
+	if err := c.nc.SetDeadline(time.Now().Add(c.opts.HandshakeTimeout)); err != nil {
 		return fault.Wrap(fault.Closed, err, "set deadline")
 	}
 	local.Magic, local.Protocol = magic, Protocol
@@ -240,7 +240,7 @@
 			c.fail(err)
 			return
 		}
-		c.opts.Traffic(0, headerSize+len(f.body))
+		c.opts.OnTraffic(0, headerSize+len(f.body))
 		if err := c.receive(f); err != nil {
 			c.fail(err)
 			return
@@ -250,13 +250,13 @@
 
 func (c *Conn) fail(err error) {
 	if c.ctx.Err() == nil {
-		c.opts.Count(fault.CodeOf(err))
+		c.opts.OnFault(fault.CodeOf(err))
 	}
 	c.end(err)
 }
 
 func (c *Conn) writeLoop() {
-	w := bufio.NewWriterSize(c.nc, c.opts.Buffer)
+	w := bufio.NewWriterSize(c.nc, c.opts.BufferSize)
 	ping := time.NewTimer(c.pingEvery())
 	defer ping.Stop()
 	for {
@@ -297,10 +297,10 @@
 	}
 }
 
-// Delay is how long a message to the peer and its answer take, by the last ping: as
+// RTT is how long a message to the peer and its answer take, by the last ping: as
 // long as it took, or as it has taken so far. Zero is not known. Pings are sent only
 // while nothing else is.
-func (c *Conn) Delay(now time.Time) time.Duration {
+func (c *Conn) RTT(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.pinged.IsZero() {
@@ -313,7 +313,7 @@
 func (c *Conn) writeAll(w *bufio.Writer, f frame) error {
 	for {
 		_ = c.nc.SetWriteDeadline(time.Now().Add(c.stallAfter()))
-		c.opts.Traffic(headerSize+len(f.body), 0)
+		c.opts.OnTraffic(headerSize+len(f.body), 0)
 		if _, err := w.Write(appendFrame(make([]byte, 0, headerSize+len(f.body)), f)); err != nil {
 			return readError(err)
 		}
--- a/wire/conn_test.go
+++ b/wire/conn_test.go
@@ -80,7 +80,7 @@
 					_, _ = b.Write(tc.bytes)
 				}()
 				go func() { _, _ = b.Read(make([]byte, 1<<10)) }()
-				_, err := NewConn(t.Context(), a, hello("c"), testCodec, nil, false, Options{Count: func(c fault.Code) { counted = c }})
+				_, err := NewConn(t.Context(), a, hello("c"), testCodec, nil, false, Options{OnFault: func(c fault.Code) { counted = c }})
 				is.Equal(fault.CodeOf(err), tc.want)
 				is.Equal(counted, tc.want) // each refusal is counted
 				_ = b.Close()
@@ -99,7 +99,7 @@
 			}
 			_ = s.SendLast(ctx, m)
 		})
-		c, _ := pair(t, h, Options{StreamRing: 4})
+		c, _ := pair(t, h, Options{StreamBuffer: 4})
 		defer c.Close()
 		slow, err := c.Open(t.Context(), &echo{"slow"})
 		is.NoErr(err)
@@ -152,7 +152,7 @@
 		is := is.New(t)
 		a, b := net.Pipe()
 		go func() { _, _ = NewConn(t.Context(), b, hello("c"), testCodec, echoHandlers(), false, Options{}) }()
-		quick := Options{Pings: func(Hello) time.Duration { return time.Second }}
+		quick := Options{PingIntervalFor: func(Hello) time.Duration { return time.Second }}
 		c, err := NewConn(t.Context(), a, hello("c"), testCodec, nil, true, quick)
 		is.NoErr(err)
 		time.Sleep(10 * time.Minute)
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -15,14 +15,14 @@
 // Pool keeps one connection to each address. Set the exported fields before
 // first use.
 type Pool struct {
-	Local    Hello
-	Codec    *Codec
-	Handlers *Handlers
-	Options  Options
-	Dial     func(ctx context.Context, addr string) (net.Conn, error) // TCP by default.
-	Lifetime context.Context                                          // Ends every connection.
-	MaxAddrs int                                                      // Addresses remembered beyond the live ones; 4096 by default.
-	Redial   time.Duration                                            // An address is left alone so long after a failure; 250 ms by default.
+	Local       Hello
+	Codec       *Codec
+	Handlers    *Handlers
+	Options     Options
+	Dial        func(ctx context.Context, addr string) (net.Conn, error) // TCP by default.
+	Lifetime    context.Context                                          // Ends every connection.
+	MaxAddrs    int                                                      // Addresses remembered beyond the live ones; 4096 by default.
+	RedialDelay time.Duration                                            // An address is left alone so long after a failure; 250 ms by default.
 
 	mu    sync.Mutex
 	conns map[string]*pooled
@@ -105,8 +105,8 @@
 }
 
 func (p *Pool) redial() time.Duration {
-	if p.Redial > 0 {
-		return p.Redial
+	if p.RedialDelay > 0 {
+		return p.RedialDelay
 	}
 	return redialAfter
 }
@@ -133,9 +133,9 @@
 	return NewConn(life, nc, p.Local, p.Codec, p.Handlers, true, p.Options)
 }
 
-// Fresh returns a new connection beside the pooled one, for a question that
+// DialNew returns a new connection beside the pooled one, for a question that
 // must not share the fate of the first. The caller closes it.
-func (p *Pool) Fresh(ctx context.Context, addr string) (*Conn, error) {
+func (p *Pool) DialNew(ctx context.Context, addr string) (*Conn, error) {
 	type made struct {
 		c   *Conn
 		err error
@@ -202,17 +202,17 @@
 		case slots <- struct{}{}:
 			go func() {
 				defer func() { <-slots }()
-				s.One(ctx, nc)
+				s.ServeConn(ctx, nc)
 			}()
 		default:
-			s.Options.withDefaults().Count(fault.Busy)
+			s.Options.withDefaults().OnFault(fault.Busy)
 			_ = nc.Close()
 		}
 	}
 }
 
-// One serves a single connection until it ends.
-func (s *Server) One(ctx context.Context, nc net.Conn) {
+// ServeConn serves a single connection until it ends.
+func (s *Server) ServeConn(ctx context.Context, nc net.Conn) {
 	c, err := NewConn(ctx, nc, s.Local, s.Codec, s.Handlers, false, s.Options)
 	if err != nil {
 		return
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -81,7 +81,7 @@
 }
 
 func (c *Conn) newStream(id uint64) *Stream {
-	s := &Stream{conn: c, id: id, in: make(chan frame, c.opts.StreamRing)}
+	s := &Stream{conn: c, id: id, in: make(chan frame, c.opts.StreamBuffer)}
 	s.ctx, s.end = context.WithCancelCause(c.ctx)
 	return s
 }
@@ -105,7 +105,7 @@
 	select {
 	case s.in <- f:
 	default:
-		c.opts.Count(fault.Overflow)
+		c.opts.OnFault(fault.Overflow)
 		s.end(fault.New(fault.Overflow, "reader too slow"))
 	}
 	return nil
@@ -129,7 +129,7 @@
 func (c *Conn) accept(f frame) error {
 	ours := f.stream%2 == c.nextID.Load()%2
 	if ours || f.kind == kindCancel || f.kind&^lastFlag < MinKind {
-		c.opts.Count(fault.UnknownStream)
+		c.opts.OnFault(fault.UnknownStream)
 		return nil
 	}
 	m, err := c.codec.decode(f.kind&^lastFlag, f.body)
@@ -172,7 +172,7 @@
 // refuse answers without a handler. It never blocks the reading goroutine for
 // long: if the write ring is full the refusal is dropped and the peer times out.
 func (c *Conn) refuse(s *Stream, err error) {
-	c.opts.Count(fault.CodeOf(err))
+	c.opts.OnFault(fault.CodeOf(err))
 	select {
 	case c.out <- errorFrame(s.id, err):
 	default:
