--- a/internal/stager/assign.go
+++ b/internal/stager/assign.go
@@ -17,22 +17,23 @@
 	"github.com/poststand/poststand/rendezvous"
 )
 
-// assignments keeps the newest assignment.
+// assignments holds the newest assignment.
 type assignments struct {
-	mu      sync.Mutex
-	now     *peers.Assignment
-	wanted  catalog.Target // What was named and when, by this box's clock.
-	heard   time.Time      // When a gateway last gave a sign.
-	asked   time.Time      // When the first gateway was asked.
-	first   time.Duration  // Patience while nothing is assigned.
-	changed chan struct{}
+	mu             sync.Mutex
+	current        *peers.Assignment
+	target         catalog.Target // The versions that were published, and when by this box's clock.
+	lastContact    time.Time      // When a gateway last answered, or its connection was last known to be alive.
+	firstContactAt time.Time      // When the first gateway was contacted; zero before.
+	startTimeout   time.Duration  // Replaces gatewayTimeout while nothing is assigned.
+	changed        chan struct{}
 }
 
-// patience is how long an agent waits for gateways before it reads the platform itself.
-const patience = time.Second
+// gatewayTimeout is how long an agent waits for gateways before it reads the platform
+// itself.
+const gatewayTimeout = time.Second
 
-// startWait is the same just after its start. All records may take half a second on a
-// box's link.
+// startWait is drawn from in place of gatewayTimeout just after the start. Reading all
+// records may take half a second on a box's link.
 var startWait = peers.StartDelay{
 	EarlyOneIn: 12,
 	Early:      150 * time.Millisecond, EarlyJitter: 450 * time.Millisecond,
@@ -45,43 +46,44 @@
 	}
 }
 
-// set takes an assignment unless it is older than the one before.
+// set stores an assignment unless it is older than the current one.
 func (a *assignments) set(n *peers.Assignment, from string) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.init()
-	old := a.now
-	if old != nil && (overtaken(n.At, old.At) || n.Version < old.Version) {
+	old := a.current
+	if old != nil && (isOlder(n.At, old.At) || n.Version < old.Version) {
 		return
 	}
-	a.wanted = wantedBy(n, now, a.wanted)
+	a.target = targetFrom(n, now, a.target)
 	if old == nil || old.Model != n.Model || old.Version != n.Version {
 		telemetry.Log("assigned", "model", n.Model, "version", n.Version, "steps", len(n.Steps), "replicas", len(n.Replicas), "at", n.At, "from", from)
 	}
-	a.now = n
+	a.current = n
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// overtaken reports whether what was told as of one position is older than what was as of
-// another. Where only one of them names an era, that is not known.
-func overtaken(at, by mirror.Position) bool {
-	return at < by && (at.Era() == 0) == (by.Era() == 0)
+// isOlder reports whether one position is older than another. Positions of which only one
+// has an era cannot be compared; it returns false for them.
+func isOlder(at, other mirror.Position) bool {
+	return at < other && (at.Era() == 0) == (other.Era() == 0)
 }
 
-// wantedBy returns what an assignment that came at now names. Ages are at most what they
-// say: of two times of a naming the later one holds, which an agent that knew has.
-func wantedBy(n *peers.Assignment, now time.Time, knew catalog.Target) catalog.Target {
+// targetFrom returns the versions that an assignment received at now lists. The age in an
+// assignment is an upper bound, so of two times for one version the later one is kept.
+// previous holds the times from earlier assignments.
+func targetFrom(n *peers.Assignment, now time.Time, previous catalog.Target) catalog.Target {
 	var w catalog.Target
 	for _, s := range n.Steps {
-		named := now.Add(-s.Age)
-		for _, k := range knew.Changes {
-			if k.Version == s.Version {
-				named = times.Later(named, k.SetAt)
+		publishedAt := now.Add(-s.Age)
+		for _, p := range previous.Changes {
+			if p.Version == s.Version {
+				publishedAt = times.Later(publishedAt, p.SetAt)
 			}
 		}
-		w = w.With(catalog.TargetChange{Version: s.Version, SetAt: named})
+		w = w.With(catalog.TargetChange{Version: s.Version, SetAt: publishedAt})
 	}
 	return w
 }
@@ -90,68 +92,68 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.init()
-	return a.now, a.wanted, a.changed
+	return a.current, a.target, a.changed
 }
 
-func (a *assignments) sign() {
+func (a *assignments) markContact() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.heard = time.Now()
+	a.lastContact = time.Now()
 }
 
-// orphaned reports whether no gateway has answered for a while.
-func (a *assignments) orphaned() bool {
+// isolated reports whether no gateway has answered within the timeout.
+func (a *assignments) isolated() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	wait := patience
-	if a.now == nil {
-		wait = a.first
+	wait := gatewayTimeout
+	if a.current == nil {
+		wait = a.startTimeout
 	}
-	return !a.asked.IsZero() && time.Since(a.asked) > wait && time.Since(a.heard) > wait
+	return !a.firstContactAt.IsZero() && time.Since(a.firstContactAt) > wait && time.Since(a.lastContact) > wait
 }
 
-// subscribe keeps a subscription with one gateway, of this hall if there is one.
+// subscribe keeps a subscription to one gateway, preferably one of this hall.
 func (s *Stager) subscribe(ctx context.Context) error {
 	const retry = 200 * time.Millisecond
-	s.now.mu.Lock()
-	s.now.asked, s.now.first = time.Now(), startWait.Draw()
-	s.now.mu.Unlock()
-	s.askAll(ctx)
+	s.assignments.mu.Lock()
+	s.assignments.firstContactAt, s.assignments.startTimeout = time.Now(), startWait.Draw()
+	s.assignments.mu.Unlock()
+	s.subscribeAny(ctx)
 	for try := 0; ctx.Err() == nil; try++ {
 		gateways := s.gateways()
 		g := gateways[try%len(gateways)]
-		if s.listen(ctx, g) {
-			try = -1 // It worked: begin again with the first.
+		if s.receiveAssignments(ctx, g) {
+			try = -1 // Start over with the preferred gateway.
 		}
 		kernel.Sleep(ctx, retry)
 	}
 	return nil
 }
 
-// met reports whether a gateway has ever answered.
-func (a *assignments) met() bool {
+// contacted reports whether any gateway has answered since the start.
+func (a *assignments) contacted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return !a.heard.IsZero()
+	return !a.lastContact.IsZero()
 }
 
-// askAll asks every gateway of the settings at once until one answers:
-// after a loss of all power most of them are not there yet, and one after the other
-// would each be waited for.
-func (s *Stager) askAll(ctx context.Context) {
+// subscribeAny contacts all gateways of the settings in parallel until one answers. After
+// a power failure of the whole site most of them are not up yet, and trying them one by
+// one would wait for a timeout of each.
+func (s *Stager) subscribeAny(ctx context.Context) {
 	const retry = 50 * time.Millisecond
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var asked kernel.WorkerSet[string]
-	defer asked.Stop()
-	asked.Sync(ctx, s.Settings.Join, func(ctx context.Context, addr string) {
+	var workers kernel.WorkerSet[string]
+	defer workers.Stop()
+	workers.Sync(ctx, s.Settings.Join, func(ctx context.Context, addr string) {
 		for ; ctx.Err() == nil; kernel.Sleep(ctx, retry) {
-			s.listen(ctx, addr)
+			s.receiveAssignments(ctx, addr)
 		}
 	})
 	for ctx.Err() == nil {
-		_, _, changed := s.now.watch()
-		if s.now.met() {
+		_, _, changed := s.assignments.watch()
+		if s.assignments.contacted() {
 			return
 		}
 		select {
@@ -161,35 +163,36 @@
 	}
 }
 
-// gateways returns whom to ask, the best first: those of this hall, each agent
-// in an order of its own.
+// gateways returns the addresses of the gateways in order of preference: those of this
+// hall, those of other halls, and those of the settings. Each agent has its own order
+// within these groups, which spreads the load.
 func (s *Stager) gateways() []string {
-	a, _, _ := s.now.watch()
-	var here, there []string
+	a, _, _ := s.assignments.watch()
+	var sameHall, otherHalls []string
 	if a != nil {
 		for _, g := range a.Gateways {
 			if g.Hall == s.Settings.Hall {
-				here = append(here, g.Addr)
+				sameHall = append(sameHall, g.Addr)
 			} else {
-				there = append(there, g.Addr)
+				otherHalls = append(otherHalls, g.Addr)
 			}
 		}
 	}
 	var join []string
 	for _, j := range s.Settings.Join {
-		if !slices.Contains(here, j) && !slices.Contains(there, j) {
+		if !slices.Contains(sameHall, j) && !slices.Contains(otherHalls, j) {
 			join = append(join, j)
 		}
 	}
 	key := "subscribe/" + s.exchange.Self.Name
-	return slices.Concat(rendezvous.Rank(key, here), rendezvous.Rank(key, there), rendezvous.Rank(key, join))
+	return slices.Concat(rendezvous.Rank(key, sameHall), rendezvous.Rank(key, otherHalls), rendezvous.Rank(key, join))
 }
 
-// listen takes assignments from one gateway until it is lost, and reports
-// whether there was one.
-func (s *Stager) listen(ctx context.Context, addr string) bool {
-	const dialIn, signEvery = 700 * time.Millisecond, 300 * time.Millisecond
-	dctx, cancel := context.WithTimeout(ctx, dialIn)
+// receiveAssignments receives assignments from one gateway until the connection is lost,
+// and reports whether it received any.
+func (s *Stager) receiveAssignments(ctx context.Context, addr string) bool {
+	const dialTimeout, contactEvery = 700 * time.Millisecond, 300 * time.Millisecond
+	dctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	c, err := s.pool.Get(dctx, addr)
 	if err != nil {
@@ -199,13 +202,13 @@
 		return false
 	}
 	st, err := c.Open(ctx, &peers.Subscribe{
-		Service: s.Settings.Service, Addr: s.Settings.Replica, Quarantined: s.quarantinedNow(),
+		Service: s.Settings.Service, Addr: s.Settings.Replica, Quarantined: s.currentQuarantined(),
 	})
 	if err != nil {
 		return false
 	}
 	defer st.Close()
-	got := false
+	received := false
 	done := make(chan struct{})
 	defer close(done)
 	for {
@@ -213,29 +216,29 @@
 		a, ok := m.(*peers.Assignment)
 		if err != nil || !ok {
 			telemetry.Log("gateway_lost", "addr", addr)
-			return got
+			return received
 		}
-		if !got {
+		if !received {
 			telemetry.Log("gateway_gained", "addr", addr)
-			got = true
-			go s.signs(c.Done(), done, signEvery)
+			received = true
+			go s.refreshContact(c.Done(), done, contactEvery)
 		}
-		s.keepQuarantined(a.Quarantined)
-		s.now.sign()
-		s.now.set(a, addr)
+		s.storeQuarantined(a.Quarantined)
+		s.assignments.markContact()
+		s.assignments.set(a, addr)
 	}
 }
 
-// keepQuarantined keeps what a gateway tells of quarantined requests in the place of what
-// was told before: the gateway was told that when this agent subscribed.
-func (s *Stager) keepQuarantined(rs []quarantine.Report) {
+// storeQuarantined replaces the known quarantined requests by those that a gateway sent.
+// Nothing is lost: the gateway received the former ones when this agent subscribed.
+func (s *Stager) storeQuarantined(rs []quarantine.Report) {
 	now := time.Now()
 	t := &quarantine.Table{}
 	t.Merge(now, now, rs)
 	s.quarantined.Store(t)
 }
 
-func (s *Stager) quarantinedNow() []quarantine.Report {
+func (s *Stager) currentQuarantined() []quarantine.Report {
 	t := s.quarantined.Load()
 	if t == nil {
 		return nil
@@ -243,15 +246,15 @@
 	return t.Quarantined(time.Now())
 }
 
-// signs counts a connection as a sign of its gateway while it is there: pings
-// end it when the gateway is silent.
-func (s *Stager) signs(lost <-chan struct{}, done <-chan struct{}, every time.Duration) {
+// refreshContact records contact with a gateway for as long as its connection is open.
+// Pings close the connection when the gateway is silent.
+func (s *Stager) refreshContact(lost <-chan struct{}, done <-chan struct{}, every time.Duration) {
 	t := time.NewTicker(every)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			s.now.sign()
+			s.assignments.markContact()
 		case <-lost:
 			return
 		case <-done:
@@ -260,16 +263,16 @@
 	}
 }
 
-// assignAlone works the assignment out from what the platform itself says, while
-// no gateway does.
-func (s *Stager) assignAlone(ctx context.Context) error {
+// assignFromPlatform derives the assignment from the platform's records while no gateway
+// answers.
+func (s *Stager) assignFromPlatform(ctx context.Context) error {
 	for ctx.Err() == nil {
 		_, changed := s.mirror.Watch()
-		if rs, at := s.mirror.Records(); at > 0 && s.now.orphaned() {
+		if rs, at := s.mirror.Records(); at > 0 && s.assignments.isolated() {
 			c := s.options.Catalog(rs, at)
 			c.DropReplaced()
 			if a := peers.Assign(c, s.Settings.Service, time.Now()); a != nil {
-				s.now.set(a, "platform")
+				s.assignments.set(a, "platform")
 			}
 		}
 		select {
--- a/internal/stager/rest_test.go
+++ b/internal/stager/backoff_test.go
@@ -11,10 +11,11 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// An agent asks its replica how it stands up to 25 times a second, and gives it pieces and
-// orders. A replica that turned one of these away and asked for 1 s of rest was sent 5 to 10
-// more in it. Whatever call it asks in, none of any kind is made until then.
-func TestReplicaThatAsksItsAgentForRestGetsIt(t *testing.T) {
+// An agent requests reports from its replica up to 25 times a second, and sends it pieces
+// and orders. A replica that refused one of these calls and asked for a backoff of 1 s was
+// sent 5 to 10 more calls within it. Whichever call starts the backoff, no call of any kind
+// may be sent until it ends.
+func TestReplicaBackoffIsRespected(t *testing.T) {
 	ctx := context.Background()
 	calls := map[string]func(rep Replica) error{
 		"report": func(rep Replica) error { _, err := rep.Report(ctx); return err },
@@ -27,16 +28,16 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				made := 0
+				sent := 0
 				answer := func() error {
-					made++
-					if made == 1 {
+					sent++
+					if sent == 1 {
 						return &fault.Error{Code: fault.Throttled, RetryAt: time.Now().Add(3 * time.Second)}
 					}
 					return nil
 				}
-				var r rest
-				rep := r.respect(Replica{
+				var b backoff
+				rep := b.wrap(Replica{
 					Report:     func(context.Context) (Report, error) { return Report{}, answer() },
 					Order:      func(context.Context, string, uint64, uint64) error { return answer() },
 					Stage:      func(context.Context, string, int, []byte) error { return answer() },
@@ -50,12 +51,12 @@
 						is.Equal(fault.CodeOf(call(rep)), fault.UpstreamResting)
 					}
 				}
-				is.Equal(made, 1)
+				is.Equal(sent, 1)
 				time.Sleep(100 * time.Millisecond)
 				for _, call := range calls {
 					is.NoErr(call(rep))
 				}
-				is.Equal(made, 1+len(calls))
+				is.Equal(sent, 1+len(calls))
 			})
 		})
 	}
--- a/internal/stager/site_test.go
+++ b/internal/stager/cluster_test.go
@@ -20,58 +20,58 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// site is some boxes with agents.
-type site struct {
-	net      *simnet.Network
-	replicas []*fakeReplica
-	agents   []*Stager
-	ends     []*simnet.End
-	stops    []func()
-	mu       sync.Mutex
-	fetched  int // Pieces that left the origin,
-	// manifests is how many manifests did, and spoilManifest which of them is spoilt
-	// on its way; 0 for none.
-	manifests, spoilManifest int
-	originRate               float64 // Pieces a second that the origin sends; 0 is no limit.
-	originFree               time.Time
-	away                     bool // The origin cannot be reached.
+// testCluster is a set of boxes with agents and fake replicas, and their origin.
+type testCluster struct {
+	net        *simnet.Network
+	replicas   []*fakeReplica
+	agents     []*Stager
+	endpoints  []*simnet.End
+	stops      []func()
+	mu         sync.Mutex
+	piecesSent int // Pieces that the origin has sent.
+	// manifests counts the manifests that the origin has sent; the one with number
+	// corruptManifest is corrupted on the way, 0 for none.
+	manifests, corruptManifest int
+	originRate                 float64 // Pieces a second that the origin sends; 0 for no limit.
+	originFreeAt               time.Time
+	originDown                 bool // The origin is unreachable.
 }
 
-func (s *site) setAway(away bool) {
+func (s *testCluster) setOriginDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.originDown = down
 }
 
-// send is a piece on the origin's link.
-func (s *site) send() error {
+// send simulates sending one piece over the origin's link.
+func (s *testCluster) send() error {
 	s.mu.Lock()
-	if s.away {
+	if s.originDown {
 		s.mu.Unlock()
 		return fault.New(fault.Unreachable, "origin")
 	}
-	if now := time.Now(); s.originFree.Before(now) {
-		s.originFree = now
+	if now := time.Now(); s.originFreeAt.Before(now) {
+		s.originFreeAt = now
 	}
 	if s.originRate > 0 {
-		s.originFree = s.originFree.Add(time.Duration(float64(time.Second) / s.originRate))
+		s.originFreeAt = s.originFreeAt.Add(time.Duration(float64(time.Second) / s.originRate))
 	}
-	sent := s.originFree
+	sent := s.originFreeAt
 	s.mu.Unlock()
 	time.Sleep(time.Until(sent))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
-		return fault.New(fault.Unreachable, "origin") // What it has not sent is lost.
+	if s.originDown {
+		return fault.New(fault.Unreachable, "origin") // The piece is lost in transit.
 	}
-	s.fetched++
+	s.piecesSent++
 	return nil
 }
 
-// play runs a test on a site of its own in virtual time.
-func play(t *testing.T, test func(is *is.I, s *site)) {
+// runCluster runs a test on a new cluster in virtual time.
+func runCluster(t *testing.T, test func(is *is.I, s *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &site{net: &simnet.Network{Latency: func(string, string) time.Duration { return time.Millisecond }}}
+		s := &testCluster{net: &simnet.Network{Latency: func(string, string) time.Duration { return time.Millisecond }}}
 		test(is.New(t), s)
 		for _, stop := range s.stops {
 			stop()
@@ -82,10 +82,10 @@
 
 func ip(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
-func (s *site) add(t *testing.T, r *fakeReplica) { s.addBehind(t, r, 9e5) }
+func (s *testCluster) add(t *testing.T, r *fakeReplica) { s.addWithLink(t, r, 9e5) }
 
-// addBehind adds a box whose link takes in so many bytes a second.
-func (s *site) addBehind(t *testing.T, r *fakeReplica, down float64) {
+// addWithLink adds a box whose incoming link carries down bytes a second.
+func (s *testCluster) addWithLink(t *testing.T, r *fakeReplica, down float64) {
 	i := len(s.agents)
 	addr := ip(i) + ":7"
 	a, err := New(&settings.Stager{
@@ -93,13 +93,13 @@
 		StagerBounds: settings.StagerBounds{VersionWithin: 8 * time.Second, Link: 7.3},
 		Replica:      ip(i) + ":80", Service: "llm",
 	}, Options{
-		Replica: r.replica(),
+		Replica: r.calls(),
 		Origin: Origin{
 			Manifest: func(_ context.Context, _, _ string, version uint64) (*weights.Manifest, error) {
 				m := manifestOf(version)
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				if s.manifests++; s.manifests == s.spoilManifest {
+				if s.manifests++; s.manifests == s.corruptManifest {
 					m.Files[0].Chunks[3].Digest = weights.Digest([]byte("spoilt"))
 				}
 				return m, nil
@@ -128,7 +128,7 @@
 		_ = k.Run(ctx)
 		close(done)
 	}()
-	s.replicas, s.agents, s.ends = append(s.replicas, r), append(s.agents, a), append(s.ends, end)
+	s.replicas, s.agents, s.endpoints = append(s.replicas, r), append(s.agents, a), append(s.endpoints, end)
 	s.stops = append(s.stops, func() {
 		cancel()
 		a.Close()
@@ -137,8 +137,8 @@
 	})
 }
 
-// assign tells every agent what a gateway would.
-func (s *site) assign(at mirror.Position, version uint64, steps ...peers.Step) {
+// assign gives every agent an assignment as a gateway would.
+func (s *testCluster) assign(at mirror.Position, version uint64, steps ...peers.Step) {
 	a := &peers.Assignment{
 		At: at, Model: "m", Version: version, Steps: steps, Origin: "origin:1", OriginRate: 9e5, VersionBytes: pieceCount * pieceBytes,
 	}
@@ -148,11 +148,11 @@
 		r.mu.Unlock()
 	}
 	for _, ag := range s.agents {
-		ag.now.set(a, "test")
+		ag.assignments.set(a, "test")
 	}
 }
 
-func (s *site) holding() map[uint64]int {
+func (s *testCluster) versionCounts() map[uint64]int {
 	out := map[uint64]int{}
 	for _, r := range s.replicas {
 		r.mu.Lock()
--- a/internal/stager/doc.go
+++ b/internal/stager/doc.go
@@ -1,10 +1,10 @@
-// Package stager is the agent of a box whose replica takes weights from a place
-// on the box itself, and is sent requests by gateways without the agent.
+// Package stager implements the agent of a box whose replica loads weights from a
+// staging area on the box and receives requests from gateways directly.
 //
-// It brings the version that is wanted to the box, from other boxes and from the
-// origin, stages it, and is the only one to order its replica to take it, when
-// the replica's turn in its hall has come. It tells every gateway how the replica
-// stands. It writes nothing that outlives it: what it knows it learns from a
-// gateway, or from the platform itself when no gateway answers, and what the box
-// holds it reads back from the replica.
+// The agent downloads the assigned version from other boxes and from the origin,
+// stages it, and orders the replica to load it when the replica's turn in the rolling
+// update of its hall has come. No other process gives the replica orders. The agent
+// reports the replica's status to gateways. It keeps no state across restarts: it
+// receives its assignment from a gateway, or derives it from the platform when no
+// gateway answers, and reads staged weights back from the replica.
 package stager
--- a/internal/stager/end_test.go
+++ b/internal/stager/end_test.go
@@ -12,10 +12,10 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// onTheWay counts the bytes of weights that were sent to the last box of a site and are
-// not kept there yet.
-func (s *site) onTheWay() func() int {
-	sent, kept := 0, 0
+// inFlight returns a function that counts the bytes of weights that were sent to the last
+// box and are not stored there yet.
+func (s *testCluster) inFlight() func() int {
+	sent, stored := 0, 0
 	last := len(s.agents) - 1
 	for _, a := range s.agents[:last] {
 		pace := a.exchange.Pace
@@ -27,79 +27,78 @@
 		}
 	}
 	x := s.agents[last].exchange
-	tell := x.Event
+	event := x.Event
 	x.Event = func(e weights.Event) {
 		s.mu.Lock()
 		if e.Kind == weights.EventPeerInHall {
-			kept += e.Bytes
+			stored += e.Bytes
 		}
 		s.mu.Unlock()
-		tell(e)
+		event(e)
 	}
 	return func() int {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return sent - kept
+		return sent - stored
 	}
 }
 
-// Near the end of the time of the version that a box's replica serves, no more weights
-// are on their way to the box than its link carries in the margin that gateways keep, if
-// it narrows just then; and they still come in time if it doesn't.
+// Shortly before the version of a box's replica expires, no more weights may be in flight
+// to the box than its link carries within the margin that gateways keep, even if the link
+// slows down at that moment. If it does not, the weights must still arrive in time.
 //
-// The story: of dalbit-prod, links of replicas' boxes were narrowed to 0.3 Mbit/s about a
-// second before gateways stopped sending on the older version, while the newer one was on
-// its way there. Gateways hear of a slow link 0.5 to 1.2 s after it narrows; a request that
-// one of them sent before that stood behind 60 to 100 KB of pieces for 1.7 to 2.7 s, was
-// given up in time, and began all the same, up to 9.4 s after the newer version was named
-// instead of 8: the word that it was given up stood behind it in the same queue. 7 of 18
-// drawn days broke the rule.
+// The test guards against requests that start on an expired version. A link slowed down to
+// 0.3 Mbit/s about a second before gateways stopped sending requests for the older version,
+// while the newer one was being transferred. Gateways learn of a slow link 0.5 to 1.2 s
+// late. A request sent before that queued behind 60 to 100 KB of pieces for 1.7 to 2.7 s;
+// its cancellation queued behind it, so it started up to 9.4 s after the newer version was
+// published instead of at most 8 s.
 func TestLittleIsOnItsWayNearAVersionsEnd(t *testing.T) {
 	const (
-		named    = 4800 * time.Millisecond // Ago, when the box begins to fetch.
-		narrowed = 0.3 * bitsPerMega / bitsPerByte
-		margin   = time.Second // Of gateways, from the last request that they send to the end.
-		step     = 5 * time.Millisecond
+		publishedAgo = 4800 * time.Millisecond // Time since publication when the box starts to fetch.
+		slowRate     = 0.3 * bitsPerMega / bitsPerByte
+		margin       = time.Second // Gateways send no requests for a version this long before it expires.
+		step         = 5 * time.Millisecond
 	)
 	for _, tc := range []struct {
-		name    string
-		narrows bool
-	}{{"usual link", false}, {"link that narrows", true}} {
+		name      string
+		slowsDown bool
+	}{{"usual link", false}, {"link that slows down", true}} {
 		t.Run(tc.name, func(t *testing.T) {
-			play(t, func(_ *is.I, s *site) {
+			runCluster(t, func(_ *is.I, s *testCluster) {
 				for range 8 {
 					s.add(t, withVersion(2))
 				}
-				s.assign(1, 2, peers.Step{Version: 2, Age: named - 2*time.Second})
+				s.assign(1, 2, peers.Step{Version: 2, Age: publishedAgo - 2*time.Second})
 				time.Sleep(2 * time.Second)
 				s.add(t, withVersion(1))
-				most, count := 0, s.onTheWay()
-				s.assign(2, 2, peers.Step{Version: 2, Age: named})
+				peak, count := 0, s.inFlight()
+				s.assign(2, 2, peers.Step{Version: 2, Age: publishedAgo})
 				down := s.down(len(s.agents) - 1)
 				for range time.Second / step {
 					time.Sleep(step)
-					most = max(most, count())
-					if n := s.missing(8, "m/2"); tc.narrows && n > 0 && n < pieceCount {
-						down.SetRate(narrowed)
+					peak = max(peak, count())
+					if n := s.missing(8, "m/2"); tc.slowsDown && n > 0 && n < pieceCount {
+						down.SetRate(slowRate)
 					}
 				}
-				if carried := int(narrowed * margin.Seconds()); most == 0 || most > carried {
-					t.Errorf("%d bytes were on their way at most, want some and no more than %d", most, carried)
+				if carried := int(slowRate * margin.Seconds()); peak == 0 || peak > carried {
+					t.Errorf("at most %d bytes were in flight, want more than 0 and no more than %d", peak, carried)
 				}
-				if n := s.missing(8, "m/2"); !tc.narrows && n > 0 {
-					t.Errorf("%d pieces lacked at the end", n)
+				if n := s.missing(8, "m/2"); !tc.slowsDown && n > 0 {
+					t.Errorf("%d pieces were missing at the end", n)
 				}
 			})
 		})
 	}
 }
 
-// down is the link over which a box is sent things.
-func (s *site) down(i int) *simnet.Link { return s.ends[i].Down }
+// down returns the incoming link of a box.
+func (s *testCluster) down(i int) *simnet.Link { return s.endpoints[i].Down }
 
-// missing is how many pieces of an artifact a box lacks: all while it has not begun to
-// fetch them.
-func (s *site) missing(i int, artifact string) int {
+// missing returns how many pieces of an artifact are not on a box: all of them if it has not
+// started to fetch any.
+func (s *testCluster) missing(i int, artifact string) int {
 	if t := s.agents[i].exchange.Transfer(artifact); t != nil {
 		if chunks, missing := t.Progress(); chunks > 0 {
 			return missing
--- a/internal/stager/load.go
+++ b/internal/stager/load.go
@@ -13,47 +13,47 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// Waits of the loader.
+// Intervals and timeouts of the loader.
 const (
-	look     = 50 * time.Millisecond  // Between looks while something is under way,
-	lookIdle = 500 * time.Millisecond // and while nothing is.
-	tellLead = 60 * time.Millisecond  // Gateways hear of a change before the replica does.
-	orderIn  = time.Second
-	// A link counts as slow while a transfer has so small a part of its usual
-	// fetches open, and for a while after: what gateways send waits there too.
-	slowEase = 0.7
-	slowFor  = 6 * time.Second
-	// A box and its replica start together; what is staged is asked for once the
-	// replica answers, and is not waited for longer than this.
-	replicaUpIn = 3 * time.Second
+	pollBusy     = 50 * time.Millisecond  // Poll interval while a transfer or a change of version is in progress.
+	pollIdle     = 500 * time.Millisecond // Poll interval otherwise.
+	noticeLead   = 60 * time.Millisecond  // Gateways are notified of a change this long before the replica is ordered to make it.
+	orderTimeout = time.Second
+	// A link counts as slow while a transfer has less than this share of its usual number of
+	// fetches open, and for slowFor after that: requests from gateways queue on it too.
+	slowBelow = 0.7
+	slowFor   = 6 * time.Second
+	// A box and its replica start at the same time. The agent waits at most this long for the
+	// replica to answer before it asks which pieces are staged.
+	replicaStartTimeout = 3 * time.Second
 )
 
-// running is a transfer with the means to end it.
-type running struct {
+// versionTransfer is a transfer of one version of a model, with its cancel function.
+type versionTransfer struct {
 	*weights.Transfer
 	model   string
 	version uint64
 	cancel  context.CancelFunc
-	// fromOthers says that the origin is not asked for it.
-	fromOthers bool
+	// peersOnly means that no chunk is fetched from the origin.
+	peersOnly bool
 }
 
-// load brings the assigned version to the box and its replica.
+// load downloads the assigned version to the box and has the replica load it.
 func (s *Stager) load(ctx context.Context) error {
 	var vs versions
 	for ctx.Err() == nil {
-		a, wanted, changed := s.now.watch()
-		wait := lookIdle
+		a, target, changed := s.assignments.watch()
+		wait := pollIdle
 		if a != nil {
-			s.follow(ctx, &vs, a, wanted)
-			if !s.step(ctx, &vs, a, wanted) {
-				wait = look
+			s.updateTransfers(ctx, &vs, a, target)
+			if !s.step(ctx, &vs, a, target) {
+				wait = pollBusy
 			}
 		}
 		t := time.NewTimer(wait)
 		select {
 		case <-changed:
-		case <-s.whole:
+		case <-s.completed:
 		case <-t.C:
 		case <-ctx.Done():
 		}
@@ -62,32 +62,32 @@
 	return nil
 }
 
-func artifactOf(model string, version uint64) string { return fmt.Sprintf("%s/%d", model, version) }
+func artifactName(model string, version uint64) string { return fmt.Sprintf("%s/%d", model, version) }
 
-// transferFromOthers starts the transfer of an older version that other boxes have.
-func (s *Stager) transferFromOthers(ctx context.Context, a *peers.Assignment, version uint64, named time.Time) *running {
+// startPeerTransfer starts the transfer of an older version from other boxes that have it.
+func (s *Stager) startPeerTransfer(ctx context.Context, a *peers.Assignment, version uint64, publishedAt time.Time) *versionTransfer {
 	old := *a
 	old.Version = version
-	r := s.transfer(ctx, &old, named)
-	r.fromOthers = true
+	r := s.startTransfer(ctx, &old, publishedAt)
+	r.peersOnly = true
 	r.SetYieldOrigin(true)
 	telemetry.Log("stopgap", "artifact", r.Artifact, "newest", a.Version, "replicas", len(a.Replicas))
 	return r
 }
 
-// transfer starts the transfer of what is assigned.
-func (s *Stager) transfer(ctx context.Context, a *peers.Assignment, named time.Time) *running {
-	const window = 2 // Copies that a box's link is planned to carry.
-	copyIn := time.Second
+// startTransfer starts the transfer of the assigned version.
+func (s *Stager) startTransfer(ctx context.Context, a *peers.Assignment, publishedAt time.Time) *versionTransfer {
+	const window = 2 // Copies that the origin's link can carry within the window.
+	copyTime := time.Second
 	if a.OriginRate > 0 {
-		copyIn = time.Duration(float64(a.VersionBytes) / a.OriginRate * float64(time.Second))
+		copyTime = time.Duration(float64(a.VersionBytes) / a.OriginRate * float64(time.Second))
 	}
-	artifact := artifactOf(a.Model, a.Version)
+	artifact := artifactName(a.Model, a.Version)
 	tctx, cancel := context.WithCancel(ctx)
-	r := &running{model: a.Model, version: a.Version, cancel: cancel}
+	r := &versionTransfer{model: a.Model, version: a.Version, cancel: cancel}
 	r.Transfer = &weights.Transfer{
-		Exchange: s.exchange, Artifact: artifact, Window: window * copyIn, OriginCopies: window,
-		Members: s.members, StartAt: named,
+		Exchange: s.exchange, Artifact: artifact, Window: window * copyTime, OriginCopies: window,
+		Members: s.members, StartAt: publishedAt,
 		Prepare: func(ctx context.Context, m *weights.Manifest) { s.prepare(ctx, a.Model, a.Version, m) },
 	}
 	began := time.Now()
@@ -99,9 +99,9 @@
 	go func() {
 		select {
 		case <-r.Complete():
-			telemetry.Log("weights_whole", "artifact", artifact, "took", time.Since(began), "moved", s.moved.take())
+			telemetry.Log("weights_whole", "artifact", artifact, "took", time.Since(began), "moved", s.transferEvents.take())
 			select {
-			case s.whole <- struct{}{}:
+			case s.completed <- struct{}{}:
 			default:
 			}
 		case <-tctx.Done():
@@ -110,13 +110,13 @@
 	return r
 }
 
-// members returns the boxes that want what is assigned: all that have a replica
-// of the service. Ports are alike on all of them.
+// members returns the boxes that need the assigned version: all with a replica of the
+// service. All agents listen on the same port.
 func (s *Stager) members() []weights.Member {
-	a, _, _ := s.now.watch()
+	a, _, _ := s.assignments.watch()
 	out := []weights.Member{s.exchange.Self}
 	_, port := splitAddr(s.Settings.Listen)
-	seen := map[string]bool{s.exchange.Self.Name: true} // The replica before a box's present one may be listed still.
+	seen := map[string]bool{s.exchange.Self.Name: true} // A former replica of a box may still be listed.
 	for _, r := range a.Replicas {
 		ip, _ := splitAddr(r.Addr)
 		if !seen[ip] && !r.Leaving {
@@ -127,14 +127,14 @@
 	return out
 }
 
-// fromOrigin fetches a manifest by its artifact's name, or a piece by its digest.
-func (s *Stager) fromOrigin(ctx context.Context, name string) ([]byte, error) {
-	const within = 5 * time.Second
-	ctx, cancel := context.WithTimeout(ctx, within)
+// fetchFromOrigin fetches a manifest by the name of its artifact, or a piece by its digest.
+func (s *Stager) fetchFromOrigin(ctx context.Context, name string) ([]byte, error) {
+	const timeout = 5 * time.Second
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	a, _, _ := s.now.watch()
+	a, _, _ := s.assignments.watch()
 	if a.Origin == "" {
-		return nil, fault.New(fault.Unreachable, "no origin is known")
+		return nil, fault.New(fault.Unreachable, "the assignment has no origin")
 	}
 	if p, ok := s.pieces.find(name); ok {
 		began := time.Now()
@@ -142,22 +142,23 @@
 		telemetry.Log("origin_asked", "model", p.model, "version", p.version, "piece", p.number, "took", time.Since(began), "reason", fault.CodeOf(err))
 		return data, err
 	}
-	if name != artifactOf(a.Model, a.Version) {
+	if name != artifactName(a.Model, a.Version) {
 		return nil, fault.New(fault.NotHeld, name)
 	}
-	return s.manifest(ctx, a)
+	return s.fetchManifest(ctx, a)
 }
 
-// manifest fetches a manifest until two answers agree: no digest of it is known,
-// and a spoilt one would spread from here to every box. Two are asked for at once.
-func (s *Stager) manifest(ctx context.Context, a *peers.Assignment) ([]byte, error) {
+// fetchManifest requests a manifest until two answers agree: its digest is not known in
+// advance, and a corrupt one would spread from here to every box. The first two requests
+// run in parallel.
+func (s *Stager) fetchManifest(ctx context.Context, a *peers.Assignment) ([]byte, error) {
 	const tries = 5
 	type answer struct {
 		data []byte
 		err  error
 	}
 	answers := make(chan answer, tries)
-	ask := func() {
+	request := func() {
 		m, err := s.options.Origin.Manifest(ctx, a.Origin, a.Model, a.Version)
 		var data []byte
 		if err == nil {
@@ -165,10 +166,10 @@
 		}
 		answers <- answer{data, err}
 	}
-	go ask()
-	go ask()
+	go request()
+	go request()
 	seen := map[string]bool{}
-	for asked := 2; ; asked++ {
+	for requested := 2; ; requested++ {
 		got := <-answers
 		switch {
 		case got.err == nil && seen[string(got.data)]:
@@ -176,86 +177,86 @@
 		case got.err == nil:
 			seen[string(got.data)] = true
 		case fault.Is(got.err, fault.Unreachable):
-			return nil, got.err // The origin is away; nothing is spoilt.
+			return nil, got.err // The origin is unreachable; retrying would not help.
 		}
-		if asked == tries {
-			return nil, fault.New(fault.Corrupt, "manifests of "+a.Origin+" differ or do not come")
+		if requested == tries {
+			return nil, fault.New(fault.Corrupt, "origin "+a.Origin+" did not send the same manifest twice")
 		}
-		go ask()
+		go request()
 	}
 }
 
-// step goes as far as it can towards a replica with the assigned version, and
-// reports whether it is there.
-func (s *Stager) step(ctx context.Context, vs *versions, a *peers.Assignment, wanted catalog.Target) bool {
+// step makes what progress is possible now towards a replica with the assigned version,
+// and reports whether the replica has it.
+func (s *Stager) step(ctx context.Context, vs *versions, a *peers.Assignment, target catalog.Target) bool {
 	now := time.Now()
-	cs := s.candidates(vs, a, wanted, now)
-	vs.shareOrigin(now, cs)
-	s.tellProgress(vs, now)
-	s.sparesLink(vs, wanted, now)
+	cs := s.candidates(vs, a, target, now)
+	vs.allotOrigin(now, cs)
+	s.updateProgress(vs, now)
+	s.limitInFlight(vs, target, now)
 	rep, ok := s.status.report()
 	if !ok {
 		return false
 	}
-	to := next(now, cs, rep.Version, s.until(wanted, rep.Version))
-	turn := s.turn(a, rep, wanted, to)
-	s.status.changes(turn)
-	if !rep.OrderPending && rep.Version != 0 && rep.Version >= vs.ordered {
+	next := nextVersion(now, cs, rep.Version, s.usableUntil(target, rep.Version))
+	changeAt := s.changeTime(a, rep, target, next)
+	s.status.setChangeAt(changeAt)
+	if !rep.OrderPending && rep.Version != 0 && rep.Version >= vs.lastOrdered {
 		s.status.set(func(st *peers.Status) { st.Changing = false })
 	}
 	if rep.Version == a.Version && !rep.OrderPending {
 		return true
 	}
-	if rep.OrderPending || !to.whole || now.Before(turn) {
+	if rep.OrderPending || !next.complete || now.Before(changeAt) {
 		return false
 	}
-	vs.ordered = to.version
-	s.change(ctx, vs.find(to.version), rep)
+	vs.lastOrdered = next.version
+	s.changeVersion(ctx, vs.find(next.version), rep)
 	return false
 }
 
-// tellProgress has gateways told how the newest version comes along, and whether the
-// box's link is slow, by any transfer that is under way.
-func (s *Stager) tellProgress(vs *versions, now time.Time) {
+// updateProgress sets in the status how many pieces of the newest version are missing, and
+// whether the box's link is slow, judged by all transfers in progress.
+func (s *Stager) updateProgress(vs *versions, now time.Time) {
 	for _, r := range vs.all() {
-		if !r.whole() && r.ParallelFraction() < slowEase {
+		if !r.isComplete() && r.ParallelFraction() < slowBelow {
 			s.slowUntil = now.Add(slowFor)
 		}
 	}
 	_, missing := vs.newest.Progress()
-	s.rests.Store(vs.newest.whole())
+	s.upToDate.Store(vs.newest.isComplete())
 	slow := now.Before(s.slowUntil)
 	s.status.set(func(st *peers.Status) { st.MissingChunks, st.SlowLink = missing, slow })
 }
 
-// sparesLink has little on its way to the box near the end of the time of the version
-// that its replica serves. Whether it does is not known for a moment after a start or an
-// order; it is taken to.
-func (s *Stager) sparesLink(vs *versions, wanted catalog.Target, now time.Time) {
+// limitInFlight limits the pieces in flight to the box shortly before the version that its
+// replica serves expires. For a moment after a start or an order the replica's version is
+// not known; the one before the newest is assumed then.
+func (s *Stager) limitInFlight(vs *versions, target catalog.Target, now time.Time) {
 	rep, known := s.status.report()
 	held := rep.Version
 	if !known {
 		held = vs.newest.version - 1
 	}
-	few := held != 0 && s.nearEnd(now, wanted.SupersededAt(held))
+	single := held != 0 && s.expiresSoon(now, target.SupersededAt(held))
 	for _, r := range vs.all() {
-		r.SetSingleFetch(few)
+		r.SetSingleFetch(single)
 	}
 }
 
-// change stages what the replica should take and orders it to take it.
-func (s *Stager) change(ctx context.Context, r *running, rep Report) {
+// changeVersion stages a version and orders the replica to load it.
+func (s *Stager) changeVersion(ctx context.Context, r *versionTransfer, rep Report) {
 	s.status.set(func(st *peers.Status) { st.Changing = true })
 	began := time.Now()
 	if !s.stage(ctx, r) {
 		return
 	}
-	if left := tellLead - time.Since(began); left > 0 && rep.Version != 0 {
+	if left := noticeLead - time.Since(began); left > 0 && rep.Version != 0 {
 		kernel.Sleep(ctx, left)
 	}
-	octx, cancel := context.WithTimeout(ctx, orderIn)
+	octx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := s.options.Replica.Order(octx, r.model, r.version, rep.OrderCount)
-	s.status.expire()
+	s.status.invalidate()
 	telemetry.Log("ordered", "addr", s.Settings.Replica, "model", r.model, "version", r.version, "from", rep.Version, "orders", rep.OrderCount, "staged_in", time.Since(began), "reason", fault.CodeOf(err))
 }
--- a/internal/stager/replica.go
+++ b/internal/stager/replica.go
@@ -6,31 +6,32 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// Report is what a replica says of itself.
+// Report is the state of a replica as reported by itself.
 type Report struct {
 	Model        string
-	Version      uint64 // That it holds whole; 0 for none.
-	OrderPending bool   // It has not finished an order.
-	OrderCount   uint64 // Orders that it took since its start.
+	Version      uint64 // The version that is loaded; 0 for none.
+	OrderPending bool   // An order has been accepted and is not finished.
+	OrderCount   uint64 // Number of orders accepted since its start.
 	Queued       int
 	Running      int
-	UsedTokens   int // Tokens of contexts in its memory,
-	TotalTokens  int // and how many fit.
+	UsedTokens   int // Tokens in the context memory.
+	TotalTokens  int // Capacity of the context memory in tokens.
 	Slowdown     float64
 }
 
-// Replica is the replica of this box.
+// Replica holds the calls to the replica of this box.
 type Replica struct {
 	Report func(ctx context.Context) (Report, error)
-	// Order has it take the version that is staged, once what runs has finished,
-	// if it has taken as many orders as the caller believes.
+	// Order orders the replica to load the staged version once its running requests have
+	// finished. The replica refuses the order if the number of orders that it has accepted
+	// differs from orders.
 	Order      func(ctx context.Context, model string, version, orders uint64) error
 	Stage      func(ctx context.Context, model string, piece int, data []byte) error
 	ListStaged func(ctx context.Context, model string) ([]int, error)
 	ReadStaged func(ctx context.Context, model string, piece int) ([]byte, error)
 }
 
-// Origin is where weights come from first.
+// Origin holds the calls to the origin server of weights.
 type Origin struct {
 	Manifest func(ctx context.Context, addr, model string, version uint64) (*weights.Manifest, error)
 	Piece    func(ctx context.Context, addr, model string, version uint64, piece int) ([]byte, error)
--- a/internal/stager/replica_test.go
+++ b/internal/stager/replica_test.go
@@ -12,7 +12,7 @@
 
 const pieceCount, pieceBytes = 16, 16 << 10
 
-// pieceOf is the n-th piece of a version.
+// pieceOf returns the n-th piece of a version.
 func pieceOf(version uint64, n int) []byte {
 	b := make([]byte, pieceBytes)
 	copy(b, fmt.Sprintf("version %d piece %d", version, n))
@@ -27,20 +27,20 @@
 	return &weights.Manifest{Model: "m", Version: fmt.Sprint(version), Files: []weights.File{f}}
 }
 
-// fakeReplica takes what is staged when it is ordered to, half a second later.
+// fakeReplica loads the staged version half a second after it is ordered to.
 type fakeReplica struct {
-	mu     sync.Mutex
-	report Report
-	staged map[int][]byte
-	orders []uint64  // The versions that it was ordered to take.
-	puts   int       // Pieces that were staged.
-	spoilt int       // Orders while a staged piece was not of the version.
-	upAt   time.Time // It answers nothing before.
-	hangs  int       // So many calls about staged pieces get no answer.
+	mu          sync.Mutex
+	report      Report
+	staged      map[int][]byte
+	orders      []uint64  // The versions that it was ordered to load.
+	puts        int       // Pieces that were staged.
+	wrongPieces int       // Staged pieces that were not of the version, over all orders.
+	upAt        time.Time // It does not answer before this time.
+	hangs       int       // Number of calls to the staging area that will get no answer.
 }
 
-// hang keeps the caller waiting if this call gets no answer.
-func (r *fakeReplica) hang(ctx context.Context) error {
+// maybeHang blocks until ctx ends if this call should get no answer.
+func (r *fakeReplica) maybeHang(ctx context.Context) error {
 	r.mu.Lock()
 	hangs := r.hangs > 0
 	if hangs {
@@ -54,7 +54,7 @@
 	return fault.Wrap(fault.Unreachable, ctx.Err(), "replica")
 }
 
-func (r *fakeReplica) replica() Replica {
+func (r *fakeReplica) calls() Replica {
 	return Replica{
 		Report: func(context.Context) (Report, error) {
 			r.mu.Lock()
@@ -72,7 +72,7 @@
 			}
 			for n := range pieceCount {
 				if weights.Digest(r.staged[n]) != weights.Digest(pieceOf(version, n)) {
-					r.spoilt++
+					r.wrongPieces++
 				}
 			}
 			r.orders = append(r.orders, version)
@@ -86,7 +86,7 @@
 			return nil
 		},
 		Stage: func(ctx context.Context, _ string, n int, data []byte) error {
-			if err := r.hang(ctx); err != nil {
+			if err := r.maybeHang(ctx); err != nil {
 				return err
 			}
 			r.mu.Lock()
@@ -96,7 +96,7 @@
 			return nil
 		},
 		ListStaged: func(ctx context.Context, _ string) ([]int, error) {
-			if err := r.hang(ctx); err != nil {
+			if err := r.maybeHang(ctx); err != nil {
 				return nil, err
 			}
 			r.mu.Lock()
@@ -110,7 +110,7 @@
 			return held, nil
 		},
 		ReadStaged: func(ctx context.Context, _ string, n int) ([]byte, error) {
-			if err := r.hang(ctx); err != nil {
+			if err := r.maybeHang(ctx); err != nil {
 				return nil, err
 			}
 			r.mu.Lock()
@@ -120,7 +120,7 @@
 	}
 }
 
-// restart is the crash of a replica: it holds nothing, and what is staged stays.
+// restart simulates a crash of the replica: it has no version, and staged pieces remain.
 func (r *fakeReplica) restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/stager/roll.go
+++ b/internal/stager/roll.go
@@ -11,43 +11,45 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// Rolling: the replicas take a version one after the other, spread over the time
-// between the first that can have it and the end of the older ones' time, so that
-// as few as possible finish what they run at the same moment.
+// Parameters of the rolling update. The replicas load a version one after the other,
+// spread over the time from when the first box has it until the older version expires, so
+// that as few as possible drain their running requests at the same time.
 const (
-	rollMargin  = 700 * time.Millisecond // Before the older versions' time is over.
-	spreadLinks = 1.4                    // Copies that a box's link carries until the first has a whole.
+	rollMargin      = 700 * time.Millisecond // The last replica changes this long before the older version expires.
+	firstCopyFactor = 1.4                    // Time until the first box has a complete copy, in times that a box's link needs for one.
 )
 
-// fewWithin is for how long before the end of a version's time few pieces are on their way
-// to a box whose replica holds it: if its link narrows, they lie before requests.
-const fewWithin = 3700 * time.Millisecond
+// nearExpiry is how long before a version expires the pieces in flight to boxes whose
+// replicas hold it are limited: if such a box's link slows down, requests queue behind them.
+const nearExpiry = 3700 * time.Millisecond
 
-// nearEnd reports whether the time of a version that was overtaken then is nearly over.
-func (s *Stager) nearEnd(now, overtaken time.Time) bool {
-	left := overtaken.Add(s.bounds.Load().VersionWithin).Sub(now)
-	return !overtaken.IsZero() && left > 0 && left <= fewWithin
+// expiresSoon reports whether a version that was superseded at the given time is within
+// nearExpiry of its expiry.
+func (s *Stager) expiresSoon(now, supersededAt time.Time) bool {
+	left := supersededAt.Add(s.bounds.Load().VersionWithin).Sub(now)
+	return !supersededAt.IsZero() && left > 0 && left <= nearExpiry
 }
 
-// turn is when the replica may change, or zero for at once: one that serves
-// nothing need not wait. It is never before the weights are here.
-func (s *Stager) turn(a *peers.Assignment, rep Report, wanted catalog.Target, to candidate) time.Time {
+// changeTime returns when the replica may change its version, or zero for at once: one
+// that serves nothing need not wait. It is never before the weights are on the box.
+func (s *Stager) changeTime(a *peers.Assignment, rep Report, target catalog.Target, next candidate) time.Time {
 	if rep.Version == 0 || rep.Version == a.Version {
 		return time.Time{}
 	}
-	place := placeOf(a, s.exchange.Self)
-	lead := time.Duration(spreadLinks * float64(a.VersionBytes) / s.linkRate() * float64(time.Second))
-	begin := to.wholeAt
+	position := rollPosition(a, s.exchange.Self)
+	lead := time.Duration(firstCopyFactor * float64(a.VersionBytes) / s.linkRate() * float64(time.Second))
+	begin := next.completeAt
 	if begin.IsZero() {
-		begin = times.Later(wanted.SupersededAt(to.version-1).Add(lead), to.wholeBy)
+		begin = times.Later(target.SupersededAt(next.version-1).Add(lead), next.completeBy)
 	}
-	return turnOf(wanted, rep.Version, begin, s.bounds.Load().VersionWithin-rollMargin, place)
+	return scheduleChange(target, rep.Version, begin, s.bounds.Load().VersionWithin-rollMargin, position)
 }
 
-// placeOf is a replica's place among all that change, from 0 to under 1: those of
-// a hall one after the other, and the halls by turns. It is pure.
-func placeOf(a *peers.Assignment, self weights.Member) float64 {
-	var here, halls []string
+// rollPosition returns a replica's position in the rolling update, from 0 to just under 1:
+// the replicas of a hall follow one another, interleaved with those of the other halls. It
+// is a pure function.
+func rollPosition(a *peers.Assignment, self weights.Member) float64 {
+	var sameHall, halls []string
 	for _, r := range a.Replicas {
 		if r.Leaving || r.Version == 0 {
 			continue
@@ -57,25 +59,25 @@
 		}
 		if r.Hall == self.Hall {
 			ip, _ := splitAddr(r.Addr)
-			here = append(here, ip)
+			sameHall = append(sameHall, ip)
 		}
 	}
-	place := float64(rendezvous.Position(a.Model, self.Name, here))
+	index := float64(rendezvous.Position(a.Model, self.Name, sameHall))
 	slices.Sort(halls)
-	turn := float64(max(0, slices.Index(halls, self.Hall))) / float64(max(1, len(halls)))
-	return min(1, (place+turn)/float64(max(1, len(here))))
+	offset := float64(max(0, slices.Index(halls, self.Hall))) / float64(max(1, len(halls)))
+	return min(1, (index+offset)/float64(max(1, len(sameHall))))
 }
 
-// turnOf is when the replica at a place among all changes from a version: spread from
-// begin, when the next one is here, to when the time of its own version is over, within
-// after that was overtaken. Where weights come late, what time is left is shared by all:
-// if each kept to the turn that it would have had, most would have their turns behind
-// them and change at the same moment. It is pure.
-func turnOf(w catalog.Target, from uint64, begin time.Time, within time.Duration, place float64) time.Time {
-	overtaken := w.SupersededAt(from)
-	if overtaken.IsZero() {
+// scheduleChange returns when the replica at a position of the rolling update changes from
+// a version. The changes are spread from begin, when the next version is on the box, to
+// the expiry of the version that the replica serves, which is within after that was
+// superseded. If weights arrive late, all replicas share the time that is left: with fixed
+// times most would be past theirs and change at the same moment. It is a pure function.
+func scheduleChange(w catalog.Target, from uint64, begin time.Time, within time.Duration, position float64) time.Time {
+	supersededAt := w.SupersededAt(from)
+	if supersededAt.IsZero() {
 		return time.Time{}
 	}
-	span := max(0, overtaken.Add(within).Sub(begin))
-	return begin.Add(time.Duration(float64(span) * place))
+	span := max(0, supersededAt.Add(within).Sub(begin))
+	return begin.Add(time.Duration(float64(span) * position))
 }
--- a/internal/stager/staged.go
+++ b/internal/stager/staged.go
@@ -9,16 +9,16 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// prepare takes back what is staged on the box already. Only the first transfer
-// of a process has to: later ones want a version that was never staged here.
+// prepare copies the pieces that are already staged on the box into the store. Only the
+// first transfer of a process does so: later ones are of versions never staged here.
 func (s *Stager) prepare(ctx context.Context, model string, version uint64, m *weights.Manifest) {
-	s.pieces.note(model, version, m)
+	s.pieces.add(model, version, m)
 	telemetry.Log("manifest_here", "model", model, "version", version, "pieces", len(m.Files[0].Chunks))
-	if s.recovered.Swap(true) {
+	if s.stagedChecked.Swap(true) {
 		return
 	}
-	s.status.awaitReplica(ctx, replicaUpIn)
-	held, err := s.stagedPieces(ctx, model)
+	s.status.awaitReplica(ctx, replicaStartTimeout)
+	held, err := s.listStaged(ctx, model)
 	if err != nil {
 		telemetry.Log("staged_unknown", "model", model, "reason", fault.CodeOf(err))
 		return
@@ -32,33 +32,32 @@
 		if err == nil && s.exchange.Store.Put(chunks[n].Digest, data) == nil {
 			kept++
 		}
-		if i == sample && kept == 0 {
-			break // Another version lies there.
+		if i == lastProbe && kept == 0 {
+			break // Another version is staged.
 		}
 	}
 	if kept == len(chunks) {
-		s.readBack.Store(&readBack{artifact: artifactOf(model, version), goodUntil: time.Now().Add(readBackFor)})
+		s.verified.Store(&verifiedVersion{artifact: artifactName(model, version), validUntil: time.Now().Add(verifiedFor)})
 	}
 	telemetry.Log("staged_read", "model", model, "version", version, "held", len(held), "kept", kept)
 }
 
-// readBack is a version of which every piece was found intact where the replica takes
-// it from.
-type readBack struct {
-	artifact  string
-	goodUntil time.Time // Pieces may turn bad there later.
+// verifiedVersion is a version of which every piece in the staging area was found intact.
+type verifiedVersion struct {
+	artifact   string
+	validUntil time.Time // Staged pieces may become corrupt later.
 }
 
-// readBackFor is for how long a version that was read back need not be staged again.
-const readBackFor = time.Second
+// verifiedFor is how long a verified version need not be staged again.
+const verifiedFor = time.Second
 
-// sample is after how many pieces of which none matched the rest is not read.
-const sample = 6
+// lastProbe is the index of the last staged piece that is read if none has matched.
+const lastProbe = 6
 
-// stage puts a version where the replica takes it from, unless it lies there intact
-// already, and reports whether all of it is there.
-func (s *Stager) stage(ctx context.Context, r *running) bool {
-	if b := s.readBack.Load(); b != nil && b.artifact == r.Artifact && time.Now().Before(b.goodUntil) {
+// stage writes a version to the staging area of the replica, unless it has been verified
+// there, and reports whether all of it is staged.
+func (s *Stager) stage(ctx context.Context, r *versionTransfer) bool {
+	if v := s.verified.Load(); v != nil && v.artifact == r.Artifact && time.Now().Before(v.validUntil) {
 		return true
 	}
 	for i, c := range r.Manifest().Files[0].Chunks {
@@ -74,35 +73,35 @@
 	return true
 }
 
-// pieceIn is how long the replica has to answer a call about what is staged. It is on the
-// same box, and answers in milliseconds; on a connection that has gone silent it never
-// does, and the loader would wait for ever.
-const pieceIn = time.Second
+// stageTimeout bounds each call to the staging area of the replica. The replica is on the
+// same box and answers in milliseconds; on a connection that has gone silent no answer
+// comes, and the loader would block forever.
+const stageTimeout = time.Second
 
 func (s *Stager) stagePiece(ctx context.Context, model string, n int, data []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, pieceIn)
+	ctx, cancel := context.WithTimeout(ctx, stageTimeout)
 	defer cancel()
 	return s.options.Replica.Stage(ctx, model, n, data)
 }
 
 func (s *Stager) readStaged(ctx context.Context, model string, n int) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, pieceIn)
+	ctx, cancel := context.WithTimeout(ctx, stageTimeout)
 	defer cancel()
 	return s.options.Replica.ReadStaged(ctx, model, n)
 }
 
-// stagedPieces asks for what is staged, once more if there is no answer: without it all
-// pieces would be fetched again.
-func (s *Stager) stagedPieces(ctx context.Context, model string) ([]int, error) {
-	held, err := s.stagedOnce(ctx, model)
+// listStaged lists the staged pieces, with one retry: without the list all pieces would be
+// fetched again.
+func (s *Stager) listStaged(ctx context.Context, model string) ([]int, error) {
+	held, err := s.listStagedOnce(ctx, model)
 	if err != nil && ctx.Err() == nil {
-		return s.stagedOnce(ctx, model)
+		return s.listStagedOnce(ctx, model)
 	}
 	return held, err
 }
 
-func (s *Stager) stagedOnce(ctx context.Context, model string) ([]int, error) {
-	ctx, cancel := context.WithTimeout(ctx, pieceIn)
+func (s *Stager) listStagedOnce(ctx context.Context, model string) ([]int, error) {
+	ctx, cancel := context.WithTimeout(ctx, stageTimeout)
 	defer cancel()
 	return s.options.Replica.ListStaged(ctx, model)
 }
--- a/internal/stager/stager.go
+++ b/internal/stager/stager.go
@@ -27,18 +27,18 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Codec knows every message that a stager sends or takes.
+// Codec encodes and decodes every message that a stager sends or receives.
 var Codec = wire.NewCodec(weights.Messages, peers.Messages)
 
-// roleAgent is what an agent calls itself towards other processes.
+// roleAgent is the role that an agent gives in its handshake.
 const roleAgent = "agent"
 
-// Options are the seams of a Stager: what lies on the other side of its box.
+// Options are the external dependencies of a Stager.
 type Options struct {
 	Replica Replica
 	Origin  Origin
-	// Platform reads the platform itself while no gateway answers, and Catalog
-	// translates what it reads.
+	// Platform reads records from the platform while no gateway answers, and Catalog
+	// builds a catalog from them.
 	Platform     *peers.Follower
 	KeepsHistory func(key string) bool // See mirror.Mirror.
 	Outlasts     mirror.HoldPolicy
@@ -46,153 +46,154 @@
 	Dial         func(ctx context.Context, addr string) (net.Conn, error) // TCP by default.
 }
 
-// Stager is one agent. Use New.
+// Stager is the agent of one box. Use New to create one.
 type Stager struct {
 	Settings *settings.Stager
 	Metrics  *telemetry.Metrics
 
-	options   Options
-	began     time.Time
-	pool      *wire.Pool // For words,
-	exchange  *weights.Exchange
-	handlers  *wire.Handlers
-	life      context.Context
-	end       context.CancelFunc
-	now       assignments
-	pieces    pieces
-	status    status
-	claims    claims
-	mirror    mirror.Mirror
-	links     *rate.Limiter
-	moved     moved
-	bounds    atomic.Pointer[settings.StagerBounds]
-	slowUntil time.Time // The link counts as slow until then; only the loader touches it.
-	// recovered says that what the box held was read back.
-	recovered atomic.Bool
-	whole     chan struct{}            // A ring of one: a version has become whole here.
-	rests     atomic.Bool              // The box lacks nothing of what is assigned.
-	readBack  atomic.Pointer[readBack] // Nil until a whole version was read back.
-	// quarantined are the requests that the last gateway told of; nil before.
+	options        Options
+	startedAt      time.Time
+	pool           *wire.Pool // For assignments and statuses; the exchange has its own pool for weights.
+	exchange       *weights.Exchange
+	handlers       *wire.Handlers
+	lifetime       context.Context
+	cancel         context.CancelFunc
+	assignments    assignments
+	pieces         pieceIndex
+	status         status
+	claims         claims
+	mirror         mirror.Mirror
+	linkLimiter    *rate.Limiter
+	transferEvents eventCounts
+	bounds         atomic.Pointer[settings.StagerBounds]
+	slowUntil      time.Time // The link counts as slow until then; used by the loader only.
+	// stagedChecked reports whether the weights that were staged before the start have
+	// been read back.
+	stagedChecked atomic.Bool
+	completed     chan struct{}                   // Receives when a version becomes complete; capacity 1.
+	upToDate      atomic.Bool                     // The box has the whole assigned version.
+	verified      atomic.Pointer[verifiedVersion] // Nil until a complete version has been read back.
+	// quarantined holds the quarantined requests that the last gateway sent; nil before.
 	quarantined atomic.Pointer[quarantine.Table]
-	rest        rest
+	backoff     backoff
 }
 
-// New returns a stager with its parts joined.
+// New returns a stager that is ready to run.
 func New(s *settings.Stager, o Options) (*Stager, error) {
 	m, err := telemetry.New()
 	if err != nil {
 		return nil, err
 	}
-	st := &Stager{Settings: s, Metrics: m, options: o, began: time.Now(), whole: make(chan struct{}, 1)}
-	st.options.Replica = st.rest.respect(o.Replica)
+	st := &Stager{Settings: s, Metrics: m, options: o, startedAt: time.Now(), completed: make(chan struct{}, 1)}
+	st.options.Replica = st.backoff.wrap(o.Replica)
 	st.bounds.Store(&s.StagerBounds)
-	st.life, st.end = context.WithCancel(context.Background())
+	st.lifetime, st.cancel = context.WithCancel(context.Background())
 	local := wire.Hello{
 		Cluster: s.Cluster, Box: boxOf(s.Listen), Hall: s.Hall, Role: roleAgent, Incarnation: rand.Uint64() | 1,
 	}
 	st.handlers = &wire.Handlers{}
-	st.pool = &wire.Pool{Local: local, Codec: Codec, Options: st.wireOptions(), Dial: link.Dialer{Starts: st.unmet, Connect: o.Dial}.Dial, Lifetime: st.life, Handlers: st.handlers, RedialDelay: redial}
+	st.pool = &wire.Pool{Local: local, Codec: Codec, Options: st.wireOptions(), Dial: link.Dialer{Starts: st.noGatewayYet, Connect: o.Dial}.Dial, Lifetime: st.lifetime, Handlers: st.handlers, RedialDelay: redialAfter}
 	st.exchange = &weights.Exchange{
 		Self:  weights.Member{Name: local.Box, Hall: s.Hall, Addr: s.Listen},
 		Store: &weights.Store{Limit: s.Memory}, Strategy: weights.Swarm,
-		Pool:        &wire.Pool{Local: local, Codec: Codec, Options: st.wireOptions(), Dial: link.Dialer{Starts: st.fresh, Connect: o.Dial}.Dial, Lifetime: st.life, Handlers: st.handlers, RedialDelay: redial},
-		FetchOrigin: st.fromOrigin, Pace: st.pace, PartBytes: sendPart, UploadSlots: uploadSlots, UploadQueue: uploadQueue, Parallel: fetches, PreferHall: true, AdaptiveParallel: true, OriginParallel: atOrigin, FlushInterval: flush,
+		Pool:        &wire.Pool{Local: local, Codec: Codec, Options: st.wireOptions(), Dial: link.Dialer{Starts: st.justStarted, Connect: o.Dial}.Dial, Lifetime: st.lifetime, Handlers: st.handlers, RedialDelay: redialAfter},
+		FetchOrigin: st.fetchFromOrigin, Pace: st.pace, PartBytes: sendPart, UploadSlots: uploadSlots, UploadQueue: uploadQueue, Parallel: maxFetches, PreferHall: true, AdaptiveParallel: true, OriginParallel: maxAtOrigin, FlushInterval: flushAfter,
 		Event: st.weightsEvent,
 	}
-	st.links = rate.NewLimiter(rate.Limit(linkShare*st.linkRate()), sendPart)
+	st.linkLimiter = rate.NewLimiter(rate.Limit(linkShare*st.linkRate()), sendPart)
 	st.exchange.Serve(st.handlers)
 	st.options.Platform.Mirror = &st.mirror
-	st.options.Platform.Needed = st.now.orphaned
+	st.options.Platform.Needed = st.assignments.isolated
 	st.options.Platform.MaxAssumedAge = peers.MaxAssumedAgeFor(s.VersionWithin)
 	st.mirror.KeepsHistory, st.mirror.HoldPolicy, st.mirror.OnEvent = o.KeepsHistory, o.Outlasts, peers.LogMirrorEvent
 	return st, nil
 }
 
-// Just after its start an agent waits less for others, see link.Dialer.
+// Shortly after its start an agent uses shorter dial timeouts, see link.Dialer.
 const (
-	startsFor = 2 * time.Second
-	redial    = 100 * time.Millisecond // Another process is left alone so long after it was not reached.
+	startupPeriod = 2 * time.Second
+	redialAfter   = 100 * time.Millisecond // Least time between a failed dial and the next one to the same process.
 )
 
-// unmet reports whether no gateway has answered yet.
-func (s *Stager) unmet() bool { return !s.now.met() }
+// noGatewayYet reports whether no gateway has answered since the start.
+func (s *Stager) noGatewayYet() bool { return !s.assignments.contacted() }
 
-// fresh reports whether the process has only just started.
-func (s *Stager) fresh() bool { return time.Since(s.began) < startsFor }
+// justStarted reports whether the process is in its startup period.
+func (s *Stager) justStarted() bool { return time.Since(s.startedAt) < startupPeriod }
 
-// The replica's answers leave over the same link as weights. What is sent is
-// paced just below the link's rate, in small parts, so that the link has no queue
-// in which an event of an answer would wait.
+// The replica's answers share the box's link with weights. Uploads are paced just below
+// the link's rate, in small parts, so that no queue builds up on the link in which
+// events of an answer would wait.
 const (
 	linkShare   = 0.85
 	sendPart    = 4 << 10
 	uploadSlots = 1
-	uploadQueue = 4 // So that the link is not idle between two.
-	fetches     = 6
-	atOrigin    = 3                     // Chunks that this box is first for may be due together.
-	flush       = 25 * time.Millisecond // Chunks are small; neighbours are told at once.
+	uploadQueue = 4 // Keeps the link busy between two uploads.
+	maxFetches  = 6
+	maxAtOrigin = 3                     // Several chunks that this box is the first to fetch may be due at once.
+	flushAfter  = 25 * time.Millisecond // Chunks are small, so neighbours are notified of new ones with little delay.
 	bitsPerMega = 1e6
 	bitsPerByte = 8
 )
 
-// weightsEvent counts what happened to weights.
+// weightsEvent counts an event of the exchange of weights.
 func (s *Stager) weightsEvent(e weights.Event) {
 	s.Metrics.Event("weights_"+string(e.Kind), "")
-	s.moved.add(e.Kind)
+	s.transferEvents.add(e.Kind)
 }
 
-// moved counts events of weights by their kind, for the log.
-type moved struct {
-	mu    sync.Mutex
-	kinds map[weights.EventKind]int
+// eventCounts counts events of the exchange of weights by kind, for the log.
+type eventCounts struct {
+	mu     sync.Mutex
+	byKind map[weights.EventKind]int
 }
 
-func (m *moved) add(k weights.EventKind) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.kinds == nil {
-		m.kinds = map[weights.EventKind]int{}
+func (c *eventCounts) add(k weights.EventKind) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byKind == nil {
+		c.byKind = map[weights.EventKind]int{}
 	}
-	m.kinds[k]++
+	c.byKind[k]++
 }
 
-// take returns the counts since the last take, as "kind=count" words.
-func (m *moved) take() string {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	var words []string
-	for _, k := range slices.Sorted(maps.Keys(m.kinds)) {
-		words = append(words, fmt.Sprintf("%s=%d", k, m.kinds[k]))
+// take returns the counts since the last call of take, as a list of "kind=count".
+func (c *eventCounts) take() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var counts []string
+	for _, k := range slices.Sorted(maps.Keys(c.byKind)) {
+		counts = append(counts, fmt.Sprintf("%s=%d", k, c.byKind[k]))
 	}
-	m.kinds = nil
-	return strings.Join(words, ",")
+	c.byKind = nil
+	return strings.Join(counts, ",")
 }
 
-// linkRate is the bytes a second of the box's link.
+// linkRate returns the rate of the box's link in bytes a second.
 func (s *Stager) linkRate() float64 { return s.bounds.Load().Link * bitsPerMega / bitsPerByte }
 
 func (s *Stager) pace(ctx context.Context, n int) error {
-	limit := rate.Limit(linkShare * s.linkRate() * s.ease())
-	if s.links.Limit() != limit {
-		s.links.SetLimit(limit)
+	limit := rate.Limit(linkShare * s.linkRate() * s.availableShare())
+	if s.linkLimiter.Limit() != limit {
+		s.linkLimiter.SetLimit(limit)
 	}
-	return s.links.WaitN(ctx, n)
+	return s.linkLimiter.WaitN(ctx, n)
 }
 
-// ease is the part of the link's rate that it seems to have.
-func (s *Stager) ease() float64 {
-	a, _, _ := s.now.watch()
+// availableShare estimates the share of the link's configured rate that is available now.
+func (s *Stager) availableShare() float64 {
+	a, _, _ := s.assignments.watch()
 	if a == nil {
 		return 1
 	}
-	if t := s.exchange.Transfer(artifactOf(a.Model, a.Version)); t != nil {
+	if t := s.exchange.Transfer(artifactName(a.Model, a.Version)); t != nil {
 		return t.ParallelFraction()
 	}
 	return 1
 }
 
-// boxOf names a box by the IP of an address on it: all that other boxes of the
-// same service know of it is the address of its replica.
+// boxOf returns the name of the box with an address: its IP, since other boxes of
+// the service are given only the address of the box's replica.
 func boxOf(addr string) string {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -202,36 +203,36 @@
 }
 
 func (s *Stager) wireOptions() wire.Options {
-	const ping, stall = 500 * time.Millisecond, 1500 * time.Millisecond
+	const pingEvery, stallAfter = 500 * time.Millisecond, 1500 * time.Millisecond
 	return wire.Options{
-		PingInterval: ping, StallTimeout: stall, PingIntervalFor: s.pings,
+		PingInterval: pingEvery, StallTimeout: stallAfter, PingIntervalFor: s.pingInterval,
 		OnFault: func(c fault.Code) { s.Metrics.Event("connection", string(c)) },
 	}
 }
 
-// pingResting is the time between pings of two agents while neither lacks weights.
-const pingResting = 2 * time.Second
+// pingIdle is the interval of pings to other agents while this box has all weights that it is assigned.
+const pingIdle = 2 * time.Second
 
-// pings gives the time between pings on a connection, zero for the usual one. Agents
-// keep their connections to one another, and most of the time have nothing to say.
-func (s *Stager) pings(peer wire.Hello) time.Duration {
-	if peer.Role == roleAgent && s.rests.Load() {
-		return pingResting
+// pingInterval returns the interval of pings on a connection, or zero for the default.
+// Agents keep their connections to one another open, and these are idle most of the time.
+func (s *Stager) pingInterval(peer wire.Hello) time.Duration {
+	if peer.Role == roleAgent && s.upToDate.Load() {
+		return pingIdle
 	}
 	return 0
 }
 
-// AddTasks adds to k what a stager does without being asked.
+// AddTasks adds the background tasks of the stager to k.
 func (s *Stager) AddTasks(k *kernel.Kernel) {
-	k.Add("assignments", &s.now, s.subscribe)
+	k.Add("assignments", &s.assignments, s.subscribe)
 	k.Add("platform", s.options.Platform, s.options.Platform.Run)
-	k.AddTask(s.assignAlone)
+	k.AddTask(s.assignFromPlatform)
 	k.Add("loader", nil, s.load)
 	k.Add("status", &s.status, s.watchReplica)
-	k.AddTask(s.tellGateways)
+	k.AddTask(s.sendStatuses)
 }
 
-// Server returns what accepts other agents' connections.
+// Server returns the server for connections of other agents.
 func (s *Stager) Server() *wire.Server {
 	return &wire.Server{Local: s.pool.Local, Codec: Codec, Handlers: s.handlers, Options: s.pool.Options}
 }
@@ -261,8 +262,8 @@
 	return err
 }
 
-// Reload puts new settings in force. What would need a restart is refused, and
-// the old ones stay.
+// Reload applies new settings. It returns an error, and keeps the old ones, if a setting
+// differs that only a restart can change.
 func (s *Stager) Reload(n *settings.Stager) error {
 	if !s.Settings.Fixed(n) {
 		return fault.New(fault.BadConfig, "names and addresses change only with a restart")
@@ -271,13 +272,13 @@
 	return nil
 }
 
-// Close ends every connection of the stager.
-func (s *Stager) Close() { s.end() }
+// Close closes all connections of the stager.
+func (s *Stager) Close() { s.cancel() }
 
-// pieces finds what a chunk's digest stands for.
-type pieces struct {
-	mu sync.Mutex
-	by map[string]piece
+// pieceIndex maps the digest of a chunk to the piece of a version that it belongs to.
+type pieceIndex struct {
+	mu       sync.Mutex
+	byDigest map[string]piece
 }
 
 type piece struct {
@@ -286,28 +287,28 @@
 	number  int
 }
 
-func (p *pieces) note(model string, version uint64, m *weights.Manifest) {
-	const most = 8 // Versions that are kept; all but the last few are over.
+func (p *pieceIndex) add(model string, version uint64, m *weights.Manifest) {
+	const maxVersions = 8 // All but the last few versions are no longer in use.
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for digest, at := range p.by {
-		if at.model != model || at.version+most <= version {
-			delete(p.by, digest)
+	for digest, at := range p.byDigest {
+		if at.model != model || at.version+maxVersions <= version {
+			delete(p.byDigest, digest)
 		}
 	}
-	if p.by == nil {
-		p.by = map[string]piece{}
+	if p.byDigest == nil {
+		p.byDigest = map[string]piece{}
 	}
 	for _, f := range m.Files {
 		for i, c := range f.Chunks {
-			p.by[c.Digest] = piece{model, version, i}
+			p.byDigest[c.Digest] = piece{model, version, i}
 		}
 	}
 }
 
-func (p *pieces) find(digest string) (piece, bool) {
+func (p *pieceIndex) find(digest string) (piece, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at, ok := p.by[digest]
+	at, ok := p.byDigest[digest]
 	return at, ok
 }
--- a/internal/stager/stager_test.go
+++ b/internal/stager/stager_test.go
@@ -16,12 +16,12 @@
 	os.Exit(m.Run())
 }
 
-// A fresh replica is filled by the others alone; a new version leaves the origin
-// about once and is everywhere before the older one's time is over, by one order
-// for each replica; one that restarts is given its weights again; and no order is
-// given while what is staged is not whole.
+// A new replica gets its weights from other boxes only. The origin sends a new version
+// about once, and all replicas have it before the older one expires, by one order each. A
+// replica that restarts gets its weights again. No order is given while a staged version
+// is incomplete.
 func TestBoxesBringVersionsToTheirReplicas(t *testing.T) {
-	play(t, func(is *is.I, s *site) {
+	runCluster(t, func(is *is.I, s *testCluster) {
 		for range 4 {
 			s.add(t, withVersion(1))
 		}
@@ -30,20 +30,20 @@
 		s.add(t, withVersion(0))
 		s.assign(2, 1)
 		time.Sleep(3 * time.Second)
-		is.Equal(s.holding(), map[uint64]int{1: 5})
-		is.Equal(s.fetched, 0) // Not a piece of what others hold.
+		is.Equal(s.versionCounts(), map[uint64]int{1: 5})
+		is.Equal(s.piecesSent, 0) // No piece that other boxes have.
 
-		s.spoilManifest = s.manifests + 1
+		s.corruptManifest = s.manifests + 1
 		s.assign(3, 2, peers.Step{Version: 2})
 		time.Sleep(7500 * time.Millisecond)
-		is.Equal(s.holding(), map[uint64]int{2: 5})
-		is.True(s.fetched <= pieceCount+2)
+		is.Equal(s.versionCounts(), map[uint64]int{2: 5})
+		is.True(s.piecesSent <= pieceCount+2)
 
 		s.replicas[0].restart()
 		time.Sleep(2 * time.Second)
-		is.Equal(s.holding(), map[uint64]int{2: 5})
+		is.Equal(s.versionCounts(), map[uint64]int{2: 5})
 		for i, r := range s.replicas {
-			is.Equal(r.spoilt, 0)
+			is.Equal(r.wrongPieces, 0)
 			want := []uint64{2}
 			if i == 0 || i == 4 {
 				want = map[int][]uint64{0: {2, 2}, 4: {1, 2}}[i]
@@ -53,10 +53,10 @@
 	})
 }
 
-// A box that starts before its replica fetches from the others meanwhile, and asks
-// the origin for nothing: the replica may have it all.
-func TestWeightsComeWhileTheReplicaStarts(t *testing.T) {
-	play(t, func(is *is.I, s *site) {
+// A box that starts before its replica fetches from other boxes in the meantime, and nothing
+// from the origin: the pieces may already be staged.
+func TestWeightsAreFetchedWhileReplicaStarts(t *testing.T) {
+	runCluster(t, func(is *is.I, s *testCluster) {
 		for range 3 {
 			s.add(t, withVersion(1))
 		}
@@ -71,19 +71,19 @@
 		is.Equal(chunks, pieceCount)
 		is.Equal(missing, 0)
 		time.Sleep(1500 * time.Millisecond)
-		is.Equal(s.holding(), map[uint64]int{1: 4})
-		is.Equal(s.fetched, 0)
+		is.Equal(s.versionCounts(), map[uint64]int{1: 4})
+		is.Equal(s.piecesSent, 0)
 	})
 }
 
-// A box's connection to its replica goes silent while pieces are staged, or read back: the
-// call that lay on it gets no answer, and is given up and made anew. In a run of joined
-// gateways and agents 7 of 9 loaders hung in such a call for ever, and five replicas kept a
-// version of which three newer ones were named.
+// A box's connection to its replica goes silent while pieces are staged or read back: the
+// pending call gets no answer and must time out and be retried. Without the timeout 7 of 9
+// loaders blocked forever in such a call, and five replicas kept a version that three newer
+// ones had superseded.
 func TestSilentReplicaIsAskedAgain(t *testing.T) {
 	for name, hangs := range map[string]int{"while staging": 1, "twice while staging": 2} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(is *is.I, s *site) {
+			runCluster(t, func(is *is.I, s *testCluster) {
 				r := withVersion(1)
 				s.add(t, r)
 				s.assign(1, 1)
@@ -93,46 +93,46 @@
 				r.mu.Unlock()
 				s.assign(2, 2, peers.Step{Version: 2})
 				time.Sleep(7500 * time.Millisecond)
-				is.Equal(s.holding(), map[uint64]int{2: 1})
+				is.Equal(s.versionCounts(), map[uint64]int{2: 1})
 			})
 		})
 	}
 	t.Run("while reading back", func(t *testing.T) {
-		play(t, func(is *is.I, s *site) {
+		runCluster(t, func(is *is.I, s *testCluster) {
 			r := withVersion(1)
 			r.restart()
 			r.hangs = 2
 			s.add(t, r)
 			s.assign(1, 1)
 			time.Sleep(6 * time.Second)
-			is.Equal(s.holding(), map[uint64]int{1: 1})
+			is.Equal(s.versionCounts(), map[uint64]int{1: 1})
 		})
 	})
 }
 
-// What lies staged is not fetched again from the origin, though the replica that has
-// it answers only a while after the box has started.
+// Staged pieces are not fetched again from the origin, even if the replica that has them
+// answers only some time after the box has started.
 func TestStagedPiecesAreNotFetchedAgain(t *testing.T) {
-	play(t, func(is *is.I, s *site) {
+	runCluster(t, func(is *is.I, s *testCluster) {
 		r := withVersion(1)
 		r.restart()
 		r.upAt = time.Now().Add(1500 * time.Millisecond)
 		s.add(t, r)
 		s.assign(1, 1)
 		time.Sleep(3 * time.Second)
-		is.Equal(s.holding(), map[uint64]int{1: 1})
-		is.Equal(s.fetched, 0)
+		is.Equal(s.versionCounts(), map[uint64]int{1: 1})
+		is.Equal(s.piecesSent, 0)
 		is.Equal(r.puts, 0) // Nor is it staged again.
 	})
 }
 
-// An older assignment, from a gateway that is behind, changes nothing.
+// An older assignment, from a gateway that lags behind, is ignored.
 func TestOlderAssignmentIsIgnored(t *testing.T) {
 	is := is.New(t)
 	var a assignments
 	a.set(&peers.Assignment{At: 5, Model: "m", Version: 3}, "a")
 	a.set(&peers.Assignment{At: 4, Model: "m", Version: 4}, "b")
 	a.set(&peers.Assignment{At: 6, Model: "m", Version: 2}, "c")
-	now, _, _ := a.watch()
-	is.Equal(now.Version, uint64(3))
+	got, _, _ := a.watch()
+	is.Equal(got.Version, uint64(3))
 }
--- a/internal/stager/status.go
+++ b/internal/stager/status.go
@@ -11,46 +11,46 @@
 	"github.com/poststand/poststand/internal/telemetry"
 )
 
-// Waits of the status.
+// Intervals and timeouts of the replica's reports.
 const (
-	reportEvery = 100 * time.Millisecond // Between looks at the replica,
-	reportBusy  = 40 * time.Millisecond  // and while it has an order.
-	reportIn    = 500 * time.Millisecond
+	reportEvery        = 100 * time.Millisecond // Interval of requests for a report.
+	reportEveryOrdered = 40 * time.Millisecond  // The same while the replica carries out an order.
+	reportTimeout      = 500 * time.Millisecond
 )
 
-// status is how the replica stands.
+// status holds the current status of the replica.
 type status struct {
 	mu       sync.Mutex
-	now      peers.Status
-	changeAt time.Time // When the replica will change its version; zero if that is not known.
-	rep      Report
-	known    bool // rep is an answer since the last expire.
+	current  peers.Status
+	changeAt time.Time // When the replica will change its version; zero if not known.
+	last     Report
+	valid    bool // Whether last answers the latest request and has not been invalidated since.
 	reached  bool
 	changed  chan struct{}
-	again    chan struct{}
+	poll     chan struct{}
 }
 
 func (s *status) init() {
 	if s.changed == nil {
 		s.changed = make(chan struct{})
-		s.again = make(chan struct{}, 1)
+		s.poll = make(chan struct{}, 1)
 	}
 }
 
 func (s *status) get() peers.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now
+	return s.current
 }
 
-// set changes the status and wakes those who tell it.
+// set changes the status and notifies those that watch it.
 func (s *status) set(change func(st *peers.Status)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.init()
-	before := s.now
-	change(&s.now)
-	if s.now != before {
+	before := s.current
+	change(&s.current)
+	if s.current != before {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
@@ -60,27 +60,27 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.init()
-	now := s.now
+	current := s.current
 	if !s.changeAt.IsZero() {
-		now.ChangeIn = max(time.Millisecond, time.Until(s.changeAt))
+		current.ChangeIn = max(time.Millisecond, time.Until(s.changeAt))
 	}
-	return now, s.changed
+	return current, s.changed
 }
 
-// report returns the replica's last word, if it is one that may be acted on.
+// report returns the last report of the replica, and whether it is still valid.
 func (s *status) report() (Report, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rep, s.known
+	return s.last, s.valid
 }
 
-// awaitReplica returns once the replica has answered, or after a while.
+// awaitReplica waits until the replica has answered, for at most the given time.
 func (s *status) awaitReplica(ctx context.Context, within time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	for {
-		now, changed := s.watch()
-		if now.Reached {
+		current, changed := s.watch()
+		if current.Reached {
 			return
 		}
 		select {
@@ -91,13 +91,13 @@
 	}
 }
 
-// changes tells when the replica will change its version.
-func (s *status) changes(at time.Time) {
-	const worthTelling = 100 * time.Millisecond
+// setChangeAt sets when the replica will change its version. It ignores small differences.
+func (s *status) setChangeAt(at time.Time) {
+	const minShift = 100 * time.Millisecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.init()
-	if d := at.Sub(s.changeAt); d.Abs() < worthTelling {
+	if d := at.Sub(s.changeAt); d.Abs() < minShift {
 		return
 	}
 	s.changeAt = at
@@ -105,32 +105,32 @@
 	s.changed = make(chan struct{})
 }
 
-// expire makes the last word one that may not be acted on, and asks anew.
-func (s *status) expire() {
+// invalidate marks the last report as no longer valid, and has a new one requested.
+func (s *status) invalidate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.init()
-	s.known = false
+	s.valid = false
 	select {
-	case s.again <- struct{}{}:
+	case s.poll <- struct{}{}:
 	default:
 	}
 }
 
-// heard takes the replica's word, or that there was none.
-func (s *status) heard(rep Report, err error) {
+// update records a report of the replica, or the error of the request for it.
+func (s *status) update(rep Report, err error) {
 	s.mu.Lock()
 	s.init()
 	if reached := err == nil; reached != s.reached {
 		s.reached = reached
-		telemetry.Log("replica_reached", "addr", s.now.Addr, "reached", reached, "version", rep.Version, "reason", fault.CodeOf(err))
+		telemetry.Log("replica_reached", "addr", s.current.Addr, "reached", reached, "version", rep.Version, "reason", fault.CodeOf(err))
 	}
-	s.known = err == nil
+	s.valid = err == nil
 	if err == nil {
-		if rep.Version != s.rep.Version || rep.OrderPending != s.rep.OrderPending {
-			telemetry.Log("replica_holds", "addr", s.now.Addr, "model", rep.Model, "version", rep.Version, "before", s.rep.Version, "ordered", rep.OrderPending, "orders", rep.OrderCount)
+		if rep.Version != s.last.Version || rep.OrderPending != s.last.OrderPending {
+			telemetry.Log("replica_holds", "addr", s.current.Addr, "model", rep.Model, "version", rep.Version, "before", s.last.Version, "ordered", rep.OrderPending, "orders", rep.OrderCount)
 		}
-		s.rep = rep
+		s.last = rep
 	}
 	s.mu.Unlock()
 	s.set(func(st *peers.Status) {
@@ -144,25 +144,25 @@
 	})
 }
 
-// watchReplica asks the replica how it stands, again and again.
+// watchReplica requests reports from the replica at intervals.
 func (s *Stager) watchReplica(ctx context.Context) error {
 	s.status.set(func(st *peers.Status) { st.Addr, st.Hall = s.Settings.Replica, s.Settings.Hall })
 	for ctx.Err() == nil {
-		rctx, cancel := context.WithTimeout(ctx, reportIn)
+		rctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		rep, err := s.options.Replica.Report(rctx)
 		cancel()
 		if ctx.Err() != nil {
 			return nil
 		}
-		s.status.heard(rep, err)
+		s.status.update(rep, err)
 		wait := reportEvery
 		if rep.OrderPending {
-			wait = reportBusy
+			wait = reportEveryOrdered
 		}
 		t := time.NewTimer(wait)
 		select {
 		case <-t.C:
-		case <-s.status.again:
+		case <-s.status.poll:
 		case <-ctx.Done():
 		}
 		t.Stop()
--- a/internal/stager/tell.go
+++ b/internal/stager/tell.go
@@ -10,41 +10,41 @@
 	"github.com/poststand/poststand/kernel"
 )
 
-// Waits of telling gateways how the replica stands.
+// Intervals and timeouts of sending the status to gateways.
 const (
-	// tellAtLeast is how often they are told although nothing changed: a report that is
-	// passed on must be there before the one before it is too old to count.
-	tellAtLeast = 800 * time.Millisecond
-	// tellCollector is the least time between two reports of the load alone to a gateway
-	// that passes them on: it does so no more often.
-	tellCollector = 140 * time.Millisecond
-	// Gateways of other halls are told of the load alone no more often than this: they
-	// send little here, and bytes between halls have a price.
-	tellAfar = 300 * time.Millisecond
-	// tellRetry is after a gateway was lost, and tellAvoid how long it is then left for
-	// the next one of the order.
-	tellRetry = 300 * time.Millisecond
-	tellAvoid = 3 * time.Second
-	// tellStay is for how long one that is not among the first is told until the first
-	// ones are tried again.
-	tellStay = 5 * time.Second
+	// resendEvery is how often the status is sent although nothing changed: when a gateway
+	// forwards it, it must arrive before the previous one expires.
+	resendEvery = 800 * time.Millisecond
+	// collectorInterval is the least time between two statuses that differ only in load, to
+	// a gateway that forwards them: it forwards no more often.
+	collectorInterval = 140 * time.Millisecond
+	// otherHallInterval is the same for gateways of other halls: they send few requests
+	// here, and traffic between halls is charged for.
+	otherHallInterval = 300 * time.Millisecond
+	// sendRetry is the pause after the connection to a gateway was lost. The gateway is
+	// then avoided for avoidFor in favour of the next one in order.
+	sendRetry = 300 * time.Millisecond
+	avoidFor  = 3 * time.Second
+	// fallbackFor is how long the status is sent to a gateway that is not among the
+	// preferred ones until these are tried again.
+	fallbackFor = 5 * time.Second
 )
 
-// tellGateways keeps a stream of statuses to the gateways that are to be told.
-func (s *Stager) tellGateways(ctx context.Context) error {
-	var all kernel.WorkerSet[peers.Member]
-	var some kernel.WorkerSet[int]
-	defer all.Stop()
-	defer some.Stop()
+// sendStatuses keeps a stream of statuses open to each gateway that should receive them.
+func (s *Stager) sendStatuses(ctx context.Context) error {
+	var toAll kernel.WorkerSet[peers.Member]
+	var toFirst kernel.WorkerSet[int]
+	defer toAll.Stop()
+	defer toFirst.Stop()
 	for ctx.Err() == nil {
-		a, _, changed := s.now.watch()
+		a, _, changed := s.assignments.watch()
 		if a != nil && len(a.Gateways) > 0 {
-			direct, tellers := a.Gateways, a.ReportTargets
-			if tellers > 0 {
+			direct, senders := a.Gateways, a.ReportTargets
+			if senders > 0 {
 				direct = nil
 			}
-			all.Sync(ctx, direct, s.tell)
-			some.Sync(ctx, numbers(min(tellers, len(a.Gateways))), s.tellFirst)
+			toAll.Sync(ctx, direct, s.sendTo)
+			toFirst.Sync(ctx, indices(min(senders, len(a.Gateways))), s.sendToFirst)
 		}
 		select {
 		case <-changed:
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// numbers returns 0 to n-1.
-func numbers(n int) []int {
+// indices returns the numbers 0 to n-1.
+func indices(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
@@ -63,112 +63,114 @@
 	return out
 }
 
-// tell tells one gateway until ctx ends.
-func (s *Stager) tell(ctx context.Context, g peers.Member) {
+// sendTo sends statuses to one gateway until ctx ends.
+func (s *Stager) sendTo(ctx context.Context, g peers.Member) {
 	pause := time.Duration(0)
 	if g.Hall != s.Settings.Hall {
-		pause = tellAfar
+		pause = otherHallInterval
 	}
 	for ctx.Err() == nil {
-		s.tellOnce(ctx, g, pause, false)
-		kernel.Sleep(ctx, tellRetry)
+		s.sendUntilLost(ctx, g, pause, false)
+		kernel.Sleep(ctx, sendRetry)
 	}
 }
 
-// tellFirst tells the first gateway of the order that answers and that no other teller
-// of this box has, until ctx ends.
-func (s *Stager) tellFirst(ctx context.Context, _ int) {
+// sendToFirst sends statuses, until ctx ends, to the first gateway in order that answers
+// and that no other sender of this box has claimed.
+func (s *Stager) sendToFirst(ctx context.Context, _ int) {
 	for ctx.Err() == nil {
-		a, _, _ := s.now.watch()
-		g, place, ok := s.claims.take(a.Gateways, time.Now())
+		a, _, _ := s.assignments.watch()
+		g, index, ok := s.claims.take(a.Gateways, time.Now())
 		if !ok {
-			kernel.Sleep(ctx, tellRetry)
+			kernel.Sleep(ctx, sendRetry)
 			continue
 		}
-		own, cancel := ctx, context.CancelFunc(func() {})
-		if place >= a.ReportTargets {
-			own, cancel = context.WithTimeout(ctx, tellStay)
+		sendCtx, cancel := ctx, context.CancelFunc(func() {})
+		if index >= a.ReportTargets {
+			sendCtx, cancel = context.WithTimeout(ctx, fallbackFor)
 		}
-		s.tellOnce(own, g, tellCollector, true)
-		lost := own.Err() == nil
+		s.sendUntilLost(sendCtx, g, collectorInterval, true)
+		lost := sendCtx.Err() == nil
 		cancel()
 		s.claims.release(g.Addr, lost, time.Now())
 	}
 }
 
-// claims says which gateways the tellers of a box have. The zero value is none.
+// claims records which gateways the senders of a box have claimed. The zero value is
+// empty.
 type claims struct {
-	mu    sync.Mutex
-	held  map[string]bool
-	avoid map[string]time.Time // Lost ones, until when.
+	mu         sync.Mutex
+	held       map[string]bool
+	avoidUntil map[string]time.Time // When gateways that were lost may be claimed again.
 }
 
-// take claims the first gateway of an order that is free and was not lost lately, or
-// else the first that is free. It returns its place in the order.
-func (c *claims) take(order []peers.Member, now time.Time) (g peers.Member, place int, ok bool) {
+// take claims the first gateway in order that is free and was not lost recently, or else
+// the first that is free. It returns the gateway and its index in order.
+func (c *claims) take(order []peers.Member, now time.Time) (g peers.Member, index int, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.held == nil {
-		c.held, c.avoid = map[string]bool{}, map[string]time.Time{}
+		c.held, c.avoidUntil = map[string]bool{}, map[string]time.Time{}
 	}
 	free := func(m peers.Member) bool { return !c.held[m.Addr] }
-	place = slices.IndexFunc(order, func(m peers.Member) bool { return free(m) && !now.Before(c.avoid[m.Addr]) })
-	if place < 0 {
-		place = slices.IndexFunc(order, free)
+	index = slices.IndexFunc(order, func(m peers.Member) bool { return free(m) && !now.Before(c.avoidUntil[m.Addr]) })
+	if index < 0 {
+		index = slices.IndexFunc(order, free)
 	}
-	if place < 0 {
+	if index < 0 {
 		return peers.Member{}, 0, false
 	}
-	c.held[order[place].Addr] = true
-	return order[place], place, true
+	c.held[order[index].Addr] = true
+	return order[index], index, true
 }
 
-// release gives a claim back; a gateway that was lost is avoided for a while.
+// release gives up a claim. A gateway that was lost is avoided for avoidFor.
 func (c *claims) release(addr string, lost bool, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.held, addr)
-	for a, until := range c.avoid {
+	for a, until := range c.avoidUntil {
 		if now.After(until) {
-			delete(c.avoid, a)
+			delete(c.avoidUntil, a)
 		}
 	}
 	if lost {
-		c.avoid[addr] = now.Add(tellAvoid)
+		c.avoidUntil[addr] = now.Add(avoidFor)
 	}
 }
 
-// tellOnce tells one gateway until it is lost, the load alone no more often than pause.
-// passOn asks it to tell the others.
-func (s *Stager) tellOnce(ctx context.Context, g peers.Member, pause time.Duration, passOn bool) {
+// sendUntilLost sends statuses to one gateway until the connection is lost. Those that
+// differ only in load are sent no more often than pause. With passOn, the gateway is asked
+// to forward them to the others.
+func (s *Stager) sendUntilLost(ctx context.Context, g peers.Member, pause time.Duration, passOn bool) {
 	c, err := s.pool.Get(ctx, g.Addr)
 	if err != nil {
 		return
 	}
-	now, changed := s.status.watch()
-	now.Forward = passOn
-	st, err := c.Open(ctx, &now)
+	latest, changed := s.status.watch()
+	latest.Forward = passOn
+	st, err := c.Open(ctx, &latest)
 	if err != nil {
 		return
 	}
 	defer st.Close()
 	for {
-		sent := now
-		if !s.awaitNews(ctx, &sent, changed, c.Done(), pause) {
+		sent := latest
+		if !s.awaitChange(ctx, &sent, changed, c.Done(), pause) {
 			return
 		}
-		now, changed = s.status.watch()
-		now.Forward = passOn
-		if st.Send(ctx, &now) != nil {
+		latest, changed = s.status.watch()
+		latest.Forward = passOn
+		if st.Send(ctx, &latest) != nil {
 			return
 		}
 	}
 }
 
-// awaitNews waits until there is something to tell after what was sent, or it is time
-// to tell it once more. It reports false at the end of ctx or of the connection.
-func (s *Stager) awaitNews(ctx context.Context, sent *peers.Status, changed, lost <-chan struct{}, pause time.Duration) bool {
-	t := time.NewTimer(tellAtLeast)
+// awaitChange waits until the status differs from the one that was sent, or it is time to
+// send it again. It reports false if ctx or the connection has ended.
+func (s *Stager) awaitChange(ctx context.Context, sent *peers.Status, changed, lost <-chan struct{}, pause time.Duration) bool {
+	t := time.NewTimer(resendEvery)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -176,13 +178,13 @@
 		return false
 	case <-ctx.Done():
 	case <-changed:
-		s.holdBack(ctx, sent, pause)
+		s.delayLoad(ctx, sent, pause)
 	}
 	return ctx.Err() == nil
 }
 
-// holdBack waits for a while, or until more than the load differs from what was sent.
-func (s *Stager) holdBack(ctx context.Context, sent *peers.Status, pause time.Duration) {
+// delayLoad waits for pause, or until more than the load differs from what was sent.
+func (s *Stager) delayLoad(ctx context.Context, sent *peers.Status, pause time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, pause)
 	defer cancel()
 	for ctx.Err() == nil {
--- a/internal/stager/tell_test.go
+++ b/internal/stager/tell_test.go
@@ -9,8 +9,8 @@
 	"github.com/poststand/poststand/internal/peers"
 )
 
-// The tellers of a box have different gateways, the first of the order that can be had; a
-// lost one is passed over for a while and used again after that, or if there is no other.
+// The senders of a box claim different gateways, the first free ones in order. A lost gateway
+// is avoided for a while, unless no other is free, and used again after that.
 func TestClaims(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 12, 2, 18, 0, 0, 0, time.UTC)
@@ -26,12 +26,12 @@
 	is.Equal(take(now), "a")
 	is.Equal(take(now), "b")
 	c.release("a", true, now)
-	is.Equal(take(now), "c")                  // a was lost just now.
-	is.Equal(take(now), "a")                  // There is no other.
-	is.Equal(take(now), "")                   // All are taken.
-	c.release("c", false, now)                // Not lost: given back.
-	c.release("a", false, now)                //
-	is.Equal(take(now.Add(tellAvoid/2)), "c") // a is still passed over,
+	is.Equal(take(now), "c")                 // a was lost recently.
+	is.Equal(take(now), "a")                 // No other is free.
+	is.Equal(take(now), "")                  // All are claimed.
+	c.release("c", false, now)               // Not lost, so not avoided.
+	c.release("a", false, now)               //
+	is.Equal(take(now.Add(avoidFor/2)), "c") // a is still avoided.
 	c.release("c", false, now)
-	is.Equal(take(now.Add(2*tellAvoid)), "a") // and no longer.
+	is.Equal(take(now.Add(2*avoidFor)), "a") // a is no longer avoided.
 }
--- a/internal/stager/versions.go
+++ b/internal/stager/versions.go
@@ -12,91 +12,94 @@
 	"github.com/poststand/poststand/internal/telemetry"
 )
 
-// versions are the transfers of a model: of the newest version that was named, and
-// of those before it whose time is not over. An older one may be here while the
-// newest cannot be had in time, and is better than none. Only the loader uses it.
+// versions holds the transfers of a model: of the newest published version, and of older
+// ones that have not expired. An older version may be complete while the newest cannot be
+// downloaded in time, and is better than none. It is used by the loader only.
 type versions struct {
-	newest  *running
-	older   []*running // The oldest first; each has its manifest, or comes from others.
-	ordered uint64     // The version that the replica was last ordered to take.
-	first   uint64     // The version that uses the origin.
-	// left is how many chunks of the newest had yet to leave the origin when that last
-	// became less, at movedAt.
-	left    int
-	movedAt time.Time
+	newest        *versionTransfer
+	older         []*versionTransfer // The oldest first; each has its manifest, or is fetched from other boxes only.
+	lastOrdered   uint64             // The version that the replica was last ordered to load.
+	originVersion uint64             // The version that is fetched from the origin.
+	// unsent is the number of chunks of the newest version that the origin had not sent yet
+	// when it last changed, at progressAt.
+	unsent     int
+	progressAt time.Time
 }
 
-// Times of overlapping versions.
+// Times for versions that overlap.
 const (
-	// leastUse is for how long a version must serve to be worth a replica's change.
-	leastUse = 1500 * time.Millisecond
-	// swarmLag is how long after the last chunk has left the origin all boxes have it.
+	// minUse is how long a version must remain usable to be worth loading it.
+	minUse = 1500 * time.Millisecond
+	// swarmLag is the time from when the last chunk has left the origin until all boxes
+	// have it.
 	swarmLag = time.Second
-	// originSlack is how much longer than the origin's link needs a copy takes.
+	// originSlack is the ratio of the time that the origin takes to send a copy to the time
+	// that its link needs for it.
 	originSlack = 1.25
-	// stalledAfter is for how long no chunk of a version leaves the origin until the
-	// version is taken to be late: the origin is away, or cannot be reached.
+	// stalledAfter is how long a version may make no progress at the origin until it is
+	// assumed to be late: the origin is down or unreachable.
 	stalledAfter = time.Second
 )
 
-// candidate is a version that a replica may take, as far as the box knows.
+// candidate is a version that the replica may load, with what the box knows of it.
 type candidate struct {
-	version   uint64
-	whole     bool          // It is here,
-	wholeAt   time.Time     // since then; zero while it is not.
-	wholeBy   time.Time     // When it may be; zero while that is not known.
-	stalled   bool          // Nothing of it has left the origin for a while.
-	until     time.Time     // When requests may no longer begin on it; zero for the newest.
-	unoffered int           // Chunks that have yet to leave the origin; -1 if not known.
-	chunks    int           // Of the whole; 0 if not known.
-	before    time.Time     // When requests may no longer begin on the version before it.
-	perChunk  time.Duration // The origin's link carries one chunk in it.
+	version       uint64
+	complete      bool          // All chunks are on the box.
+	completeAt    time.Time     // When the last chunk arrived; zero before.
+	completeBy    time.Time     // When it is expected to be complete; zero if not known.
+	stalled       bool          // The origin has sent no chunk of it for stalledAfter.
+	usableUntil   time.Time     // When requests may no longer start on it; zero for the newest.
+	unsent        int           // Chunks that the origin has not sent yet; -1 if not known.
+	chunks        int           // Total number of chunks; 0 if not known.
+	previousUntil time.Time     // When requests may no longer start on the version before it.
+	perChunk      time.Duration // Time that the origin's link needs for one chunk.
 }
 
-// follow starts the transfer of what is assigned, and ends those of versions that
-// are of no use any more.
-func (s *Stager) follow(ctx context.Context, vs *versions, a *peers.Assignment, wanted catalog.Target) {
+// updateTransfers starts the transfer of the assigned version, and ends those of versions
+// that are no longer useful.
+func (s *Stager) updateTransfers(ctx context.Context, vs *versions, a *peers.Assignment, target catalog.Target) {
 	now := time.Now()
 	if vs.newest == nil || vs.newest.model != a.Model || vs.newest.version != a.Version {
 		if old := vs.newest; old != nil {
 			vs.older = append(vs.older, old)
 		}
-		vs.newest = s.transfer(ctx, a, wanted.SupersededAt(a.Version-1))
+		vs.newest = s.startTransfer(ctx, a, target.SupersededAt(a.Version-1))
 	}
-	if v := s.stopgap(vs, a, wanted, now); v != 0 {
-		vs.older = append([]*running{s.transferFromOthers(ctx, a, v, wanted.SupersededAt(v-1))}, vs.older...)
+	if v := s.stopgap(vs, a, target, now); v != 0 {
+		vs.older = append([]*versionTransfer{s.startPeerTransfer(ctx, a, v, target.SupersededAt(v-1))}, vs.older...)
 	}
-	vs.older = slices.DeleteFunc(vs.older, func(r *running) bool {
-		keeps := r.model == a.Model && (r.fromOthers || r.Manifest() != nil) && s.until(wanted, r.version).Sub(now) >= leastUse
-		if !keeps {
-			s.drop(r)
+	vs.older = slices.DeleteFunc(vs.older, func(r *versionTransfer) bool {
+		keep := r.model == a.Model && (r.peersOnly || r.Manifest() != nil) && s.usableUntil(target, r.version).Sub(now) >= minUse
+		if !keep {
+			s.endTransfer(r)
 		}
-		return !keeps
+		return !keep
 	})
 }
 
-// stopgap returns the version that an empty replica should be given from other boxes
-// while the newest cannot be had: what others serve with for long enough yet. It returns 0
-// if there is none, or the transfer is under way. A replica that comes while the origin
-// is away would else stand idle until the newest is here.
-func (s *Stager) stopgap(vs *versions, a *peers.Assignment, wanted catalog.Target, now time.Time) uint64 {
+// stopgap returns the older version that an empty replica should load from other boxes
+// until the newest can be downloaded: one that other replicas serve and that remains usable
+// for long enough. It returns 0 if there is none, or if a transfer of one is in progress.
+// Without it a replica that joins while the origin is down would be idle until the newest
+// version is complete.
+func (s *Stager) stopgap(vs *versions, a *peers.Assignment, target catalog.Target, now time.Time) uint64 {
 	rep, ok := s.status.report()
-	if !ok || rep.Version != 0 || rep.OrderPending || len(vs.older) > 0 || vs.newest.whole() {
+	if !ok || rep.Version != 0 || rep.OrderPending || len(vs.older) > 0 || vs.newest.isComplete() {
 		return 0
 	}
 	v := mostHeld(a)
 	if v == 0 {
 		return 0
 	}
-	copyIn := time.Duration(spreadLinks * float64(a.VersionBytes) / s.linkRate() * float64(time.Second))
-	if s.until(wanted, v).Sub(now) < copyIn+leastUse {
+	copyTime := time.Duration(firstCopyFactor * float64(a.VersionBytes) / s.linkRate() * float64(time.Second))
+	if s.usableUntil(target, v).Sub(now) < copyTime+minUse {
 		return 0
 	}
 	return v
 }
 
-// mostHeld returns the version older than the newest that most replicas hold; 0 if none
-// does. It is pure.
+// mostHeld returns the older version that the most replicas hold, or 0 if there is none.
+// It is a pure function.
 func mostHeld(a *peers.Assignment) uint64 {
 	n := map[uint64]int{}
 	best := uint64(0)
@@ -112,32 +115,33 @@
 	return best
 }
 
-// drop ends a transfer, and lets go of its chunks.
-func (s *Stager) drop(r *running) {
+// endTransfer cancels a transfer and unpins its chunks.
+func (s *Stager) endTransfer(r *versionTransfer) {
 	telemetry.Log("transfer_ended", "artifact", r.Artifact)
 	r.cancel()
 	s.exchange.Store.Unpin(r.Artifact)
 }
 
-// until is when replicas should no longer hold a version; zero if it is the newest.
-func (s *Stager) until(wanted catalog.Target, version uint64) time.Time {
-	t := wanted.SupersededAt(version)
+// usableUntil returns when replicas should have changed from a version; zero for the
+// newest.
+func (s *Stager) usableUntil(target catalog.Target, version uint64) time.Time {
+	t := target.SupersededAt(version)
 	if t.IsZero() {
 		return t
 	}
 	return t.Add(s.bounds.Load().VersionWithin - rollMargin)
 }
 
-// candidates returns what the replica may take, the oldest first.
-func (s *Stager) candidates(vs *versions, a *peers.Assignment, wanted catalog.Target, now time.Time) []candidate {
+// candidates returns the versions that the replica may load, the oldest first.
+func (s *Stager) candidates(vs *versions, a *peers.Assignment, target catalog.Target, now time.Time) []candidate {
 	var out []candidate
 	for _, r := range vs.all() {
 		c := candidate{
-			version: r.version, whole: r.whole(), wholeAt: r.CompletedAt(), wholeBy: r.CompleteBy(now), until: s.until(wanted, r.version),
-			unoffered: r.Unseeded(now), before: s.until(wanted, r.version-1),
+			version: r.version, complete: r.isComplete(), completeAt: r.CompletedAt(), completeBy: r.CompleteBy(now), usableUntil: s.usableUntil(target, r.version),
+			unsent: r.Unseeded(now), previousUntil: s.usableUntil(target, r.version-1),
 		}
-		if r.fromOthers {
-			c.unoffered = 0
+		if r.peersOnly {
+			c.unsent = 0
 		}
 		c.chunks, _ = r.Progress()
 		if c.chunks > 0 && a.OriginRate > 0 {
@@ -148,8 +152,8 @@
 	return out
 }
 
-// whole reports whether every chunk is here.
-func (r *running) whole() bool {
+// isComplete reports whether every chunk is on the box.
+func (r *versionTransfer) isComplete() bool {
 	select {
 	case <-r.Complete():
 		return true
@@ -158,115 +162,118 @@
 	}
 }
 
-// shareOrigin lets one transfer use the origin, and has the others leave it alone.
-func (vs *versions) shareOrigin(now time.Time, cs []candidate) {
+// allotOrigin lets one transfer fetch from the origin, and makes the others yield.
+func (vs *versions) allotOrigin(now time.Time, cs []candidate) {
 	first := originFirst(now, cs)
-	if first != vs.first {
-		vs.first = first
-		logFirst(now, first, cs)
+	if first != vs.originVersion {
+		vs.originVersion = first
+		logOriginFirst(now, first, cs)
 	}
 	for _, r := range vs.all() {
-		r.SetYieldOrigin(r.fromOthers || r.version != first)
+		r.SetYieldOrigin(r.peersOnly || r.version != first)
 	}
 	newest := &cs[len(cs)-1]
-	if first != newest.version || newest.unoffered != vs.left {
-		vs.left, vs.movedAt = newest.unoffered, now
+	if first != newest.version || newest.unsent != vs.unsent {
+		vs.unsent, vs.progressAt = newest.unsent, now
 	}
-	newest.stalled = newest.unoffered != 0 && now.Sub(vs.movedAt) >= stalledAfter
+	newest.stalled = newest.unsent != 0 && now.Sub(vs.progressAt) >= stalledAfter
 }
 
-// logFirst writes which version uses the origin from now on, and what of each is known:
-// chunks that have yet to leave it, and for how long it may be used.
-func logFirst(now time.Time, first uint64, cs []candidate) {
+// logOriginFirst logs which version is fetched from the origin from now on, and for each
+// version the chunks that the origin has not sent and how long it remains usable.
+func logOriginFirst(now time.Time, first uint64, cs []candidate) {
 	var known []string
 	for _, c := range cs {
 		left := "newest"
-		if !c.until.IsZero() {
-			left = c.until.Sub(now).Round(time.Millisecond).String()
+		if !c.usableUntil.IsZero() {
+			left = c.usableUntil.Sub(now).Round(time.Millisecond).String()
 		}
-		known = append(known, fmt.Sprintf("%d:%d:%s", c.version, c.unoffered, left))
+		known = append(known, fmt.Sprintf("%d:%d:%s", c.version, c.unsent, left))
 	}
 	telemetry.Log("origin_first", "version", first, "known", strings.Join(known, ","))
 }
 
-// originFirst says which version's chunks leave the origin first: the newest, unless
-// service stands still for less long if an older one goes first, or both will be here
-// before the version that replicas hold is over: the older one is then at hand if the
-// origin goes away. It is pure. cs is not empty, and the newest is the last.
+// originFirst returns the version whose chunks the origin should send first: the newest,
+// unless fetching an older one first shortens the time without service, or both will be
+// complete before the version that replicas hold expires, so that the older one is
+// available if the origin fails. It is a pure function. cs must not be empty; its last
+// element is the newest.
 func originFirst(now time.Time, cs []candidate) uint64 {
 	newest := cs[len(cs)-1]
 	var old candidate
 	for _, c := range cs[:len(cs)-1] {
-		if c.unoffered > 0 && c.until.Sub(now) >= leastUse+c.takes() && (old.version == 0 || c.unoffered < old.unoffered) {
+		if c.unsent > 0 && c.usableUntil.Sub(now) >= minUse+c.distributionTime() && (old.version == 0 || c.unsent < old.unsent) {
 			old = c
 		}
 	}
-	if old.version == 0 || old.before.IsZero() {
+	if old.version == 0 || old.previousUntil.IsZero() {
 		return newest.version
 	}
-	newest.assumes(old)
-	oldAt, newAt, lastAt := now.Add(old.takes()), now.Add(newest.takes()), now.Add(old.sends()+newest.takes())
-	without := lateBy(newAt, old.before)
-	with := lateBy(oldAt, old.before) + lateBy(lastAt, old.until)
-	both := !now.Add(old.takes() + newest.takes()).After(old.before)
-	if with < without || with == without && both {
+	newest.assumeSizeOf(old)
+	oldAt, newAt, lastAt := now.Add(old.distributionTime()), now.Add(newest.distributionTime()), now.Add(old.originTime()+newest.distributionTime())
+	without := lateBy(newAt, old.previousUntil)
+	with := lateBy(oldAt, old.previousUntil) + lateBy(lastAt, old.usableUntil)
+	bothInTime := !now.Add(old.distributionTime() + newest.distributionTime()).After(old.previousUntil)
+	if with < without || with == without && bothInTime {
 		return old.version
 	}
 	return newest.version
 }
 
-// lateBy is for how long replicas that have nothing after a time have to wait.
-func lateBy(whole, until time.Time) time.Duration { return max(0, whole.Sub(until)) }
+// lateBy returns how long replicas have no usable version: from until, when theirs expires,
+// to when the next one is complete.
+func lateBy(completeAt, until time.Time) time.Duration { return max(0, completeAt.Sub(until)) }
 
-// takes is how long a version needs until it is whole everywhere, if the origin sends
-// nothing else.
-func (c *candidate) takes() time.Duration { return swarmLag + c.sends() }
+// distributionTime returns how long it takes until all boxes have the version, if the
+// origin sends nothing else.
+func (c *candidate) distributionTime() time.Duration { return swarmLag + c.originTime() }
 
-// sends is how long the origin needs for what it has not sent of a version.
-func (c *candidate) sends() time.Duration {
-	return time.Duration(originSlack * float64(max(0, c.unoffered)) * float64(c.perChunk))
+// originTime returns how long the origin needs to send the remaining chunks.
+func (c *candidate) originTime() time.Duration {
+	return time.Duration(originSlack * float64(max(0, c.unsent)) * float64(c.perChunk))
 }
 
-// assumes takes a version of which there is no manifest to be as large as another.
-func (c *candidate) assumes(o candidate) {
+// assumeSizeOf assumes that a version without a manifest is as large as another.
+func (c *candidate) assumeSizeOf(o candidate) {
 	if c.perChunk == 0 {
-		c.perChunk, c.unoffered = o.perChunk, o.chunks
+		c.perChunk, c.unsent = o.perChunk, o.chunks
 	}
 }
 
-// next says which version a replica takes next, which holds another one until
-// heldUntil: the newest, unless an older one is here and the newest will be late. It
-// is pure. cs is not empty, and the newest is the last.
-func next(now time.Time, cs []candidate, held uint64, heldUntil time.Time) candidate {
+// nextVersion returns the version that a replica should load next, given the one that it
+// holds and until when that is usable: the newest, unless that will be late and an older
+// one is complete. It is a pure function. cs must not be empty; its last element is the
+// newest.
+func nextVersion(now time.Time, cs []candidate, held uint64, heldUntil time.Time) candidate {
 	newest := cs[len(cs)-1]
-	if newest.whole {
+	if newest.complete {
 		return newest
 	}
-	late := heldUntil
+	deadline := heldUntil
 	if held == 0 {
-		late = now.Add(leastUse)
+		deadline = now.Add(minUse)
 	}
-	newest.assumes(cs[0])
-	by := newest.wholeBy
-	if by.IsZero() {
-		by = now.Add(newest.takes())
+	newest.assumeSizeOf(cs[0])
+	expected := newest.completeBy
+	if expected.IsZero() {
+		expected = now.Add(newest.distributionTime())
 	}
-	if !newest.stalled && !by.After(late) {
+	if !newest.stalled && !expected.After(deadline) {
 		return newest
 	}
 	for _, c := range slices.Backward(cs[:len(cs)-1]) {
-		if c.whole && c.version > held && c.until.Sub(now) >= leastUse {
+		if c.complete && c.version > held && c.usableUntil.Sub(now) >= minUse {
 			return c
 		}
 	}
 	return newest
 }
 
-// all returns every transfer, the newest last.
-func (vs *versions) all() []*running { return append(slices.Clone(vs.older), vs.newest) }
+// all returns all transfers, the newest last.
+func (vs *versions) all() []*versionTransfer { return append(slices.Clone(vs.older), vs.newest) }
 
 // find returns the transfer of a version.
-func (vs *versions) find(version uint64) *running {
+func (vs *versions) find(version uint64) *versionTransfer {
 	for _, r := range vs.older {
 		if r.version == version {
 			return r
--- a/internal/stager/versions_test.go
+++ b/internal/stager/versions_test.go
@@ -11,9 +11,9 @@
 
 func TestOriginFirst(t *testing.T) {
 	const perChunk = 30 * time.Millisecond
-	now := named.Add(2 * time.Second)
-	old := candidate{version: 2, unoffered: 4, chunks: 64, perChunk: perChunk, before: named.Add(7 * time.Second), until: now.Add(7 * time.Second)}
-	newest := candidate{version: 3, unoffered: 64, chunks: 64, perChunk: perChunk}
+	now := published.Add(2 * time.Second)
+	old := candidate{version: 2, unsent: 4, chunks: 64, perChunk: perChunk, previousUntil: published.Add(7 * time.Second), usableUntil: now.Add(7 * time.Second)}
+	newest := candidate{version: 3, unsent: 64, chunks: 64, perChunk: perChunk}
 	with := func(change func(o, n *candidate)) []candidate {
 		o, n := old, newest
 		change(&o, &n)
@@ -26,22 +26,22 @@
 	}{
 		{"the newest alone", []candidate{newest}, 3},
 		{"both in time", with(func(_, _ *candidate) {}), 2},
-		{"the newest's manifest is not here", with(func(_, n *candidate) { *n = candidate{version: 3, unoffered: -1} }), 2},
-		{"the older one has left the origin", with(func(o, _ *candidate) { o.unoffered = 0 }), 3},
-		{"only one of them in time", with(func(o, _ *candidate) { o.unoffered = 40 }), 3},
-		{"only the older one in time", with(func(o, _ *candidate) { o.before = now.Add(2 * time.Second) }), 2},
-		{"none in time, and the older one here sooner", with(func(o, _ *candidate) { o.before = now }), 2},
-		{"none in time, and the older one over before the newest is here", with(func(o, _ *candidate) {
-			o.unoffered, o.before, o.until = 60, now, now.Add(5*time.Second)
+		{"the newest has no manifest yet", with(func(_, n *candidate) { *n = candidate{version: 3, unsent: -1} }), 2},
+		{"the origin has sent all of the older one", with(func(o, _ *candidate) { o.unsent = 0 }), 3},
+		{"only one of them in time", with(func(o, _ *candidate) { o.unsent = 40 }), 3},
+		{"only the older one in time", with(func(o, _ *candidate) { o.previousUntil = now.Add(2 * time.Second) }), 2},
+		{"neither in time, and the older one complete sooner", with(func(o, _ *candidate) { o.previousUntil = now }), 2},
+		{"neither in time, and the older one expired before the newest is complete", with(func(o, _ *candidate) {
+			o.unsent, o.previousUntil, o.usableUntil = 60, now, now.Add(5*time.Second)
 		}), 3},
-		{"the older one in time, but over long before the newest is here", with(func(o, _ *candidate) {
-			o.unoffered, o.before, o.until = 40, now.Add(2600*time.Millisecond), now.Add(4100*time.Millisecond)
+		{"the older one in time, but expired long before the newest is complete", with(func(o, _ *candidate) {
+			o.unsent, o.previousUntil, o.usableUntil = 40, now.Add(2600*time.Millisecond), now.Add(4100*time.Millisecond)
 		}), 3},
-		{"the older one is nearly over", with(func(o, _ *candidate) { o.until = now.Add(2 * time.Second) }), 3},
-		{"the one that lacks less", []candidate{
-			{version: 2, unoffered: 30, chunks: 64, perChunk: perChunk, before: now.Add(9 * time.Second), until: now.Add(9 * time.Second)},
-			{version: 3, unoffered: 2, chunks: 64, perChunk: perChunk, before: now.Add(9 * time.Second), until: now.Add(9 * time.Second)},
-			{version: 4, unoffered: 64, chunks: 64, perChunk: perChunk},
+		{"the older one expires soon", with(func(o, _ *candidate) { o.usableUntil = now.Add(2 * time.Second) }), 3},
+		{"the one with fewer chunks left to send", []candidate{
+			{version: 2, unsent: 30, chunks: 64, perChunk: perChunk, previousUntil: now.Add(9 * time.Second), usableUntil: now.Add(9 * time.Second)},
+			{version: 3, unsent: 2, chunks: 64, perChunk: perChunk, previousUntil: now.Add(9 * time.Second), usableUntil: now.Add(9 * time.Second)},
+			{version: 4, unsent: 64, chunks: 64, perChunk: perChunk},
 		}, 3},
 	}
 	for _, tc := range cases {
@@ -50,36 +50,36 @@
 }
 
 func TestNext(t *testing.T) {
-	now, heldUntil := named, named.Add(2*time.Second)
-	old := candidate{version: 2, whole: true, until: now.Add(5 * time.Second)}
+	now, heldUntil := published, published.Add(2*time.Second)
+	old := candidate{version: 2, complete: true, usableUntil: now.Add(5 * time.Second)}
 	cases := []struct {
-		name   string
-		cs     []candidate
-		held   uint64
-		wanted uint64
+		name string
+		cs   []candidate
+		held uint64
+		want uint64
 	}{
-		{"the newest is here", []candidate{old, {version: 3, whole: true}}, 1, 3},
-		{"it will be here in time", []candidate{old, {version: 3, wholeBy: heldUntil}}, 1, 3},
-		{"it will be late", []candidate{old, {version: 3, wholeBy: heldUntil.Add(1)}}, 1, 2},
-		{"none of it came, and it would take too long", []candidate{old, {version: 3, unoffered: 64, perChunk: 30 * time.Millisecond}}, 1, 2},
-		{"nothing of it comes any more", []candidate{old, {version: 3, wholeBy: heldUntil, stalled: true}}, 1, 2},
-		{"none of it came yet", []candidate{old, {version: 3, unoffered: 10, perChunk: 30 * time.Millisecond}}, 1, 3},
-		{"the older one is not here", []candidate{{version: 2, until: old.until}, {version: 3, wholeBy: old.until}}, 1, 3},
-		{"the older one is nearly over", []candidate{{version: 2, whole: true, until: now.Add(time.Second)}, {version: 3, wholeBy: old.until}}, 1, 3},
-		{"the replica holds the older one", []candidate{old, {version: 3, wholeBy: old.until}}, 2, 3},
-		{"the replica holds nothing, and the newest comes at once", []candidate{old, {version: 3, wholeBy: now.Add(time.Second)}}, 0, 3},
-		{"the replica holds nothing, and the newest comes later", []candidate{old, {version: 3, wholeBy: heldUntil}}, 0, 2},
-		{"the newest of the older ones", []candidate{old, {version: 3, whole: true, until: old.until}, {version: 4, wholeBy: old.until}}, 1, 3},
+		{"the newest is complete", []candidate{old, {version: 3, complete: true}}, 1, 3},
+		{"the newest will be in time", []candidate{old, {version: 3, completeBy: heldUntil}}, 1, 3},
+		{"the newest will be late", []candidate{old, {version: 3, completeBy: heldUntil.Add(1)}}, 1, 2},
+		{"no chunk of the newest has arrived, and it will take too long", []candidate{old, {version: 3, unsent: 64, perChunk: 30 * time.Millisecond}}, 1, 2},
+		{"the newest is stalled", []candidate{old, {version: 3, completeBy: heldUntil, stalled: true}}, 1, 2},
+		{"no chunk of the newest has arrived yet", []candidate{old, {version: 3, unsent: 10, perChunk: 30 * time.Millisecond}}, 1, 3},
+		{"the older one is not complete", []candidate{{version: 2, usableUntil: old.usableUntil}, {version: 3, completeBy: old.usableUntil}}, 1, 3},
+		{"the older one expires soon", []candidate{{version: 2, complete: true, usableUntil: now.Add(time.Second)}, {version: 3, completeBy: old.usableUntil}}, 1, 3},
+		{"the replica holds the older one", []candidate{old, {version: 3, completeBy: old.usableUntil}}, 2, 3},
+		{"the replica is empty, and the newest will be complete soon", []candidate{old, {version: 3, completeBy: now.Add(time.Second)}}, 0, 3},
+		{"the replica is empty, and the newest will be late", []candidate{old, {version: 3, completeBy: heldUntil}}, 0, 2},
+		{"the newest of the older ones", []candidate{old, {version: 3, complete: true, usableUntil: old.usableUntil}, {version: 4, completeBy: old.usableUntil}}, 1, 3},
 	}
 	for _, tc := range cases {
-		t.Run(tc.name, func(t *testing.T) { is.New(t).Equal(next(now, tc.cs, tc.held, heldUntil).version, tc.wanted) })
+		t.Run(tc.name, func(t *testing.T) { is.New(t).Equal(nextVersion(now, tc.cs, tc.held, heldUntil).version, tc.want) })
 	}
 }
 
-// A version that is overtaken just before the origin goes away is still brought to
-// the replicas, since nothing newer can be had before the one that they hold is over.
+// A version that is superseded just before the origin fails is still given to the replicas,
+// since nothing newer is available before the version that they hold expires.
 func TestOvertakenVersionServesWhileTheOriginIsAway(t *testing.T) {
-	play(t, func(is *is.I, s *site) {
+	runCluster(t, func(is *is.I, s *testCluster) {
 		s.originRate = 20 // Pieces a second.
 		for range 4 {
 			s.add(t, withVersion(1))
@@ -87,27 +87,27 @@
 		s.assign(1, 1)
 		time.Sleep(2 * time.Second)
 		s.assign(2, 2, peers.Step{Version: 2})
-		const apart = 700 * time.Millisecond // Not all of it has left the origin.
+		const apart = 700 * time.Millisecond // The origin has not sent all of version 2 by then.
 		time.Sleep(apart)
 		s.assign(3, 3, peers.Step{Version: 2, Age: apart}, peers.Step{Version: 3})
 		time.Sleep(500 * time.Millisecond)
-		s.setAway(true)
+		s.setOriginDown(true)
 		time.Sleep(8*time.Second - apart - time.Second)
-		is.Equal(s.holding(), map[uint64]int{2: 4}) // Version 1 is over.
-		s.setAway(false)
+		is.Equal(s.versionCounts(), map[uint64]int{2: 4}) // Version 1 has expired.
+		s.setOriginDown(false)
 		time.Sleep(3 * time.Second)
-		is.Equal(s.holding(), map[uint64]int{3: 4})
+		is.Equal(s.versionCounts(), map[uint64]int{3: 4})
 		for _, r := range s.replicas {
-			is.Equal(r.spoilt, 0)
+			is.Equal(r.wrongPieces, 0)
 			is.Equal(r.orders, []uint64{2, 3})
 		}
-		is.True(s.fetched <= 2*pieceCount+4)
+		is.True(s.piecesSent <= 2*pieceCount+4)
 	})
 }
 
-// Where the origin sends, a version that is overtaken is passed over.
+// While the origin is up, a superseded version is skipped.
 func TestOvertakenVersionIsPassedOver(t *testing.T) {
-	play(t, func(is *is.I, s *site) {
+	runCluster(t, func(is *is.I, s *testCluster) {
 		s.originRate = 20
 		for range 4 {
 			s.add(t, withVersion(1))
@@ -119,22 +119,22 @@
 		time.Sleep(apart)
 		s.assign(3, 3, peers.Step{Version: 2, Age: apart}, peers.Step{Version: 3})
 		time.Sleep(8*time.Second - apart)
-		is.Equal(s.holding(), map[uint64]int{3: 4})
+		is.Equal(s.versionCounts(), map[uint64]int{3: 4})
 		for _, r := range s.replicas {
 			is.Equal(r.orders, []uint64{3})
 		}
 	})
 }
 
-// A box whose link is slow says so while its first chunks still come, and goes on
-// saying so when a newer version is named: the link is the same.
+// A box reports a slow link while its first chunks are still arriving, and continues to when
+// a newer version is published: the link is still slow.
 func TestSlowLinkIsToldOverVersions(t *testing.T) {
-	play(t, func(is *is.I, s *site) {
+	runCluster(t, func(is *is.I, s *testCluster) {
 		for range 4 {
 			s.add(t, withVersion(1))
 		}
-		const squeezed = 2e4 // Bytes a second: six chunks take five seconds, and connections stall.
-		s.addBehind(t, withVersion(1), squeezed)
+		const slowRate = 2e4 // Bytes a second: six chunks take five seconds, and connections stall.
+		s.addWithLink(t, withVersion(1), slowRate)
 		s.assign(1, 1)
 		time.Sleep(2 * time.Second)
 		s.assign(2, 2, peers.Step{Version: 2})
@@ -151,42 +151,42 @@
 	})
 }
 
-// A replica that comes while the newest version cannot be had is given the one that the
-// others serve with, from them, and the newest once that is here.
+// A replica that joins while the newest version is unavailable gets the one that the others
+// serve, from their boxes, and the newest once that is complete.
 func TestEmptyReplicaServesWithTheOlderVersion(t *testing.T) {
-	play(t, func(is *is.I, s *site) {
+	runCluster(t, func(is *is.I, s *testCluster) {
 		s.originRate = 20
 		for range 4 {
 			s.add(t, withVersion(1))
 		}
 		s.assign(1, 1)
 		time.Sleep(2 * time.Second)
-		s.setAway(true)
+		s.setOriginDown(true)
 		s.assign(2, 2, peers.Step{Version: 2})
 		time.Sleep(500 * time.Millisecond)
 		s.add(t, withVersion(0))
 		s.assign(3, 2, peers.Step{Version: 2, Age: 500 * time.Millisecond})
 		time.Sleep(2 * time.Second)
-		is.Equal(s.holding(), map[uint64]int{1: 5})
-		is.Equal(s.fetched, 0)
-		s.setAway(false)
+		is.Equal(s.versionCounts(), map[uint64]int{1: 5})
+		is.Equal(s.piecesSent, 0)
+		s.setOriginDown(false)
 		time.Sleep(6 * time.Second)
-		is.Equal(s.holding(), map[uint64]int{2: 5})
+		is.Equal(s.versionCounts(), map[uint64]int{2: 5})
 		is.Equal(s.replicas[4].orders, []uint64{1, 2})
-		is.Equal(s.replicas[4].spoilt, 0)
+		is.Equal(s.replicas[4].wrongPieces, 0)
 	})
 }
 
-// Nobody is given a version whose time is nearly over.
+// No replica is given a version that expires soon.
 func TestOlderVersionThatIsNearlyOverIsNotTaken(t *testing.T) {
-	play(t, func(is *is.I, s *site) {
+	runCluster(t, func(is *is.I, s *testCluster) {
 		for range 4 {
 			s.add(t, withVersion(1))
 		}
 		s.assign(1, 1)
 		time.Sleep(2 * time.Second)
-		s.setAway(true)
-		const ago = 6 * time.Second // Of the eight in which version 1 may still be used.
+		s.setOriginDown(true)
+		const ago = 6 * time.Second // Of the 8 s in which version 1 may still be used.
 		s.add(t, withVersion(0))
 		s.assign(2, 2, peers.Step{Version: 2, Age: ago})
 		time.Sleep(2 * time.Second)
