--- a/dispatch/answer.go
+++ b/dispatch/answer.go
@@ -10,8 +10,8 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Answer is the log of one answer as it grows. One goroutine appends, and any
-// number follow it from any offset. The zero value is empty.
+// Answer buffers the parts of one answer as they arrive. One goroutine appends to it, and
+// any number of goroutines may follow it from any part. The zero value is empty.
 type Answer struct {
 	mu       sync.Mutex
 	head     *AnswerHead
@@ -19,9 +19,9 @@
 	bytes    int
 	sum      hash.Hash
 	end      *AnswerEnd
-	err      error // Why it ended without being whole.
-	released bool  // The parts were let go; a follower can get only the state.
-	counted  bool
+	err      error // Why the answer ended incomplete.
+	released bool  // The gate no longer retains the parts.
+	retained bool
 	changed  chan struct{}
 }
 
@@ -50,7 +50,7 @@
 	a.wake()
 }
 
-// End marks the answer whole.
+// End marks the answer as complete.
 func (a *Answer) End() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,7 +58,7 @@
 	a.wake()
 }
 
-// Fail ends an answer that is not whole.
+// Fail ends an incomplete answer with the reason.
 func (a *Answer) Fail(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -72,39 +72,40 @@
 	return a.bytes
 }
 
-func (a *Answer) keep() {
+func (a *Answer) retain() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.counted = true
+	a.retained = true
 }
 
-// release lets the parts go and returns how many bytes had been counted as kept.
+// release frees the parts if their bytes were counted as retained, and returns that number
+// of bytes, or else 0.
 func (a *Answer) release() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.released = true
 	a.wake()
-	if !a.counted {
+	if !a.retained {
 		return 0
 	}
-	a.counted = false
+	a.retained = false
 	a.parts = nil
 	return a.bytes
 }
 
-// Follow sends the answer's messages from part number from on, as they come,
-// under the id that the follower knows it by, and returns once the last was
-// sent. It returns why the answer is not whole if that is so, and
-// fault.OutcomeUnknown if the parts were let go.
+// Follow sends the messages of the answer, from part number from on, as they arrive, and
+// returns once the last was sent. The messages carry the follower's own request ID. It
+// returns the reason if the answer is incomplete, and fault.OutcomeUnknown if its parts
+// were released.
 func (a *Answer) Follow(ctx context.Context, id RequestID, from int, send func(m any, last bool) error) error {
 	headSent := false
 	for {
 		head, parts, end, more, err := a.read(from)
 		if head != nil && !headSent {
 			headSent = true
-			own := *head
-			own.ID = id
-			if err := send(&own, false); err != nil {
+			h := *head
+			h.ID = id
+			if err := send(&h, false); err != nil {
 				return err
 			}
 		}
@@ -118,9 +119,9 @@
 		case err != nil:
 			return err
 		case end != nil && from == end.Seq:
-			own := *end
-			own.ID = id
-			return send(&own, true)
+			e := *end
+			e.ID = id
+			return send(&e, true)
 		case more == nil:
 			continue
 		}
@@ -132,8 +133,8 @@
 	}
 }
 
-// read returns what there is from a part on. The channel is closed at the next
-// change; it is nil if there was something to send.
+// read returns what is available from a part on. If nothing is, it returns a channel that
+// is closed at the next change; more is nil otherwise.
 func (a *Answer) read(from int) (head *AnswerHead, parts [][]byte, end *AnswerEnd, more chan struct{}, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -142,7 +143,7 @@
 	}
 	if a.end != nil {
 		if from > a.end.Seq || (a.parts == nil && from < a.end.Seq) {
-			return nil, nil, nil, nil, fault.New(fault.OutcomeUnknown, "answer not kept")
+			return nil, nil, nil, nil, fault.New(fault.OutcomeUnknown, "the answer is no longer retained")
 		}
 		return a.head, nil, a.end, nil, nil
 	}
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,17 +1,17 @@
-// Package dispatch decides what may be said of a request that was sent out.
+// Package dispatch determines the outcome of requests that a gateway sends to boxes.
 //
 // A gateway dispatches a request to the agent of one box. A dispatch has one of
-// three outcomes: Done, the whole answer was seen with its end mark and digest;
-// NotRun, it is proved that nothing started anywhere; Unknown, it may have run.
+// three outcomes: Done, the complete answer was received with its end message and
+// digest; NotRun, it is proved that the request did not start anywhere; Unknown, it may
+// have run.
 //
-// The Gate is the agent's half. It sees the requests of one box one by one and
-// dies with that box, so it is the one place that can promise "at most once"
-// and a true "not run". It admits a dispatch only if it names this incarnation
-// of the agent, the version that is served, and a deadline still to come. A
-// request that was voided before it started is fenced until its deadline has
-// passed, so that a late frame cannot start it.
+// Gate is the agent's side. It admits the requests of one box one at a time, and its
+// state ends with the process on that box, so it alone can guarantee that a request runs
+// at most once or has not run. It admits a dispatch only if it names this incarnation of
+// the agent, the version that is served, and a deadline in the future. A request that
+// was voided before it started is fenced until its deadline has passed, so that a
+// delayed frame cannot start it.
 //
-// Decide is the gateway's half: from an outcome it says whether to answer, to
-// try another box, or to give up. Both halves are free of I/O and are given
-// the time.
+// Decide is the gateway's side: it decides from an outcome whether to deliver the answer,
+// retry on another box, or give up. Both sides do no I/O and take the time as a parameter.
 package dispatch
--- a/dispatch/expiry.go
+++ b/dispatch/expiry.go
@@ -7,9 +7,9 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// clock returns now, or the latest time seen if the clock was set back, and
-// forgets what has expired.
-func (g *Gate) clock(now time.Time) time.Time {
+// advanceClock returns now, or the latest time seen if the clock was set back, and removes
+// expired records.
+func (g *Gate) advanceClock(now time.Time) time.Time {
 	now = now.Round(0)
 	if now.After(g.latest) {
 		g.latest = now
@@ -21,25 +21,25 @@
 	for len(g.expiry) > 0 && g.expiry[0].ExpiresAt.Before(g.latest) {
 		r := g.expiry[0]
 		if r.State == Running {
-			// Still running past its deadline: it must not be forgotten.
+			// The request still runs past its deadline; its record must be kept.
 			r.ExpiresAt = g.latest.Add(time.Second)
 			heap.Fix(&g.expiry, 0)
 			continue
 		}
 		heap.Pop(&g.expiry)
-		g.forget(r)
+		g.remove(r)
 	}
 	return g.latest
 }
 
-func (g *Gate) forget(r *Record) {
-	g.settle(r, Dropped, fault.PastDeadline)
+func (g *Gate) remove(r *Record) {
+	g.dequeue(r, Dropped, fault.PastDeadline)
 	delete(g.records, r.ID)
 	if g.keys[r.key] == r {
 		delete(g.keys, r.key)
 	}
 	if r.Answer != nil {
-		g.kept -= r.Answer.release()
+		g.retainedBytes -= r.Answer.release()
 	}
 }
 
@@ -50,7 +50,7 @@
 	return b
 }
 
-// expiryHeap orders records by when they may be forgotten.
+// expiryHeap is a heap of records by the time when they expire.
 type expiryHeap []*Record
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/dispatch/gate.go
+++ b/dispatch/gate.go
@@ -8,62 +8,63 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// State is where a request stands at its agent.
+// State is the state of a request at its agent.
 type State int
 
-// States of a Record. They only rise: a request that was fenced or finished
-// never runs again.
+// States of a Record. A state never decreases: a request that was fenced or finished never
+// runs again.
 const (
 	Queued State = iota
 	Running
 	Finished
-	Dropped // Taken from the queue; it never started.
+	Dropped // Removed from the queue or fenced; the request never started.
 )
 
-// Record is what a Gate remembers of one request until Until has passed.
+// Record is what a Gate stores about one request until ExpiresAt.
 type Record struct {
 	ID        RequestID
 	Dispatch  *Dispatch
 	State     State
-	ExpiresAt time.Time     // When it may be forgotten.
+	ExpiresAt time.Time     // When the record may be removed.
 	Dequeued  chan struct{} // Closed when State leaves Queued.
-	Reason    fault.Code    // Why it was dropped.
-	Answer    *Answer       // What was answered so far; nil for a fence.
+	Reason    fault.Code    // Why the request was dropped.
+	Answer    *Answer       // The answer so far; nil for a fence.
 	key       string
 	order     uint64
 }
 
-// KeyHome is what an agent knows of being the home of an idempotency key.
+// KeyHome describes whether an agent is the home of an idempotency key: the only agent
+// that runs requests with it.
 type KeyHome struct {
-	IsHome     bool      // The key's home by this agent's view.
-	Since      time.Time // The home without a break, by one incarnation, since then.
-	FreshUntil time.Time // The view is vouched for until then.
+	IsHome     bool      // The agent is the key's home according to its view.
+	Since      time.Time // Since when this incarnation has been the home without interruption.
+	FreshUntil time.Time // Until when the view counts as current.
 }
 
 // Gate admits requests to one box. Set the exported fields before first use.
-// Methods are safe for use by many goroutines.
+// Its methods may be called concurrently.
 type Gate struct {
 	Incarnation    uint64
-	Slots          int           // Requests that run at once; 8 by default.
-	Queue          int           // Requests that wait; 16 by default.
-	MaxRecords     int           // Requests remembered; 65536 by default.
-	MaxDeadline    time.Duration // The furthest deadline; 5 minutes by default.
-	KeyWindow      time.Duration // How long a key is remembered; 3 minutes by default.
-	MaxAnswerBytes int           // Bytes of answers kept; 32 MiB by default.
+	Slots          int           // Requests that run concurrently; 8 by default.
+	Queue          int           // Requests that may be queued; 16 by default.
+	MaxRecords     int           // Requests on record; 65536 by default.
+	MaxDeadline    time.Duration // How far ahead a deadline may be; 5 minutes by default.
+	KeyWindow      time.Duration // How long an idempotency key is remembered; 3 minutes by default.
+	MaxAnswerBytes int           // Bytes of finished answers that are retained; 32 MiB by default.
 
-	mu       sync.Mutex
-	latest   time.Time // The clock as seen here never goes back.
-	service  string
-	digest   string
-	open     bool // A version is confirmed, or the service is plain.
-	draining bool
-	records  map[RequestID]*Record
-	keys     map[string]*Record
-	expiry   expiryHeap
-	waiting  []*Record
-	running  int
-	order    uint64
-	kept     int
+	mu            sync.Mutex
+	latest        time.Time // The latest time seen; the gate's clock never goes back.
+	service       string
+	digest        string
+	open          bool // A version is confirmed, or the service is plain.
+	draining      bool
+	records       map[RequestID]*Record
+	keys          map[string]*Record
+	expiry        expiryHeap
+	waiting       []*Record
+	running       int
+	order         uint64
+	retainedBytes int
 }
 
 func orDefault(v, d int) int {
@@ -74,20 +75,20 @@
 }
 
 const (
-	defaultSlots       = 8
-	defaultQueue       = 16
-	defaultMaxRecords  = 1 << 16
-	defaultMaxDeadline = 5 * time.Minute
-	defaultKeyWindow   = 3 * time.Minute
-	defaultMaxKept     = 32 << 20
+	defaultSlots          = 8
+	defaultQueue          = 16
+	defaultMaxRecords     = 1 << 16
+	defaultMaxDeadline    = 5 * time.Minute
+	defaultKeyWindow      = 3 * time.Minute
+	defaultMaxAnswerBytes = 32 << 20
 )
 
-// settle moves a queued record on. It does nothing to others.
-func (g *Gate) settle(r *Record, to State, why fault.Code) {
+// dequeue moves a queued record to another state. It does nothing to other records.
+func (g *Gate) dequeue(r *Record, to State, reason fault.Code) {
 	if r.State != Queued || r.Answer == nil {
 		return
 	}
-	r.State, r.Reason = to, why
+	r.State, r.Reason = to, reason
 	close(r.Dequeued)
 	for i, w := range g.waiting {
 		if w == r {
@@ -97,78 +98,78 @@
 	}
 }
 
-// Open lets requests for service in at the version of digest. An empty digest
-// is for a plain service.
+// Open admits requests for a service at the version with the digest. The digest is empty
+// for a plain service, which has no versions.
 func (g *Gate) Open(service, digest string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.service, g.digest, g.open = service, digest, true
 }
 
-// Close refuses new requests and drops those that wait, all as not run.
+// Close refuses new requests and drops the queued ones, all as not run.
 func (g *Gate) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.open = false
 	for len(g.waiting) > 0 {
-		g.settle(g.waiting[0], Dropped, fault.NotReady)
+		g.dequeue(g.waiting[0], Dropped, fault.NotReady)
 	}
 }
 
-// Drain refuses new requests; those already admitted still run.
+// Drain refuses new requests; those already admitted still run to their end.
 func (g *Gate) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.draining = true
 }
 
-// Idle reports whether nothing runs and nothing waits.
+// Idle reports whether no request runs or is queued.
 func (g *Gate) Idle() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.running == 0 && len(g.waiting) == 0
 }
 
-// Report returns how the gate stands.
+// Report returns the current state of the gate.
 func (g *Gate) Report(now time.Time) Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return Report{
 		Incarnation: g.Incarnation, Service: g.service, Digest: g.digest, Ready: g.open && !g.draining,
 		Draining: g.draining, Running: g.running, Queued: len(g.waiting),
-		Slots: orDefault(g.Slots, defaultSlots), At: g.clock(now),
+		Slots: orDefault(g.Slots, defaultSlots), At: g.advanceClock(now),
 	}
 }
 
-// Admit takes a dispatch in, or refuses it. A refusal means that the request
-// has not run here and, for any reason but fault.Duplicate, never will under
-// this id. The bool is true when the record is an earlier request with the same
-// key, whose answer is to be followed.
+// Admit admits a dispatch, or refuses it with an error. An error other than
+// fault.Duplicate and fault.OutcomeUnknown means that the request has not run here and
+// never will under this ID. The bool is true if the record is that of an earlier request
+// with the same key, whose answer should be followed.
 func (g *Gate) Admit(now time.Time, d *Dispatch, home KeyHome) (*Record, bool, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now = g.clock(now)
+	now = g.advanceClock(now)
 	if err := g.check(now, d); err != nil {
 		return nil, false, err
 	}
 	if d.Key != "" {
-		first, err := g.checkKey(now, d, home)
-		if first != nil {
-			return first, true, nil
+		earlier, err := g.checkKey(now, d, home)
+		if earlier != nil {
+			return earlier, true, nil
 		}
 		if err != nil {
 			return nil, false, g.refuse(d, err)
 		}
 	}
-	if err := g.room(d); err != nil {
+	if err := g.checkCapacity(d); err != nil {
 		return nil, false, g.refuse(d, err)
 	}
-	return g.insert(d), false, nil
+	return g.enqueue(d), false, nil
 }
 
-// refuse fences a request that is told "not run", so that a second copy of its
-// frame cannot start it when the reason has passed. Without room for the fence
-// the answer cannot be "not run".
+// refuse fences a request that is reported as not run, so that a duplicate of its frame
+// cannot start it once the reason for the refusal no longer applies. If there is no room
+// for the fence, the outcome is unknown.
 func (g *Gate) refuse(d *Dispatch, err error) error {
 	if !g.fence(d.ID, d.Deadline) {
 		return fault.New(fault.OutcomeUnknown, "no room for a fence")
@@ -176,7 +177,8 @@
 	return err
 }
 
-// fence remembers until the deadline that id must not start.
+// fence records that the request must not start, until its deadline. It reports whether
+// there was room for the record.
 func (g *Gate) fence(id RequestID, deadline time.Time) bool {
 	if len(g.records) >= 2*orDefault(g.MaxRecords, defaultMaxRecords) {
 		return false
@@ -187,8 +189,9 @@
 	return true
 }
 
-// check refuses what must not run whatever else holds. Its order matters: a
-// fence or a duplicate is told from the other reasons first.
+// check returns an error for dispatches that must not run in any state of the gate. The
+// order of the checks matters: after the incarnation, fences and duplicates are detected
+// before any other reason.
 func (g *Gate) check(now time.Time, d *Dispatch) error {
 	if d.Incarnation != g.Incarnation {
 		return fault.New(fault.WrongIncarnation, "")
@@ -207,7 +210,7 @@
 		limit = defaultMaxDeadline
 	}
 	if d.Deadline.After(now.Add(limit)) {
-		return fault.New(fault.BadRequest, "deadline too far")
+		return fault.New(fault.BadRequest, "deadline too far in the future")
 	}
 	return nil
 }
@@ -241,14 +244,14 @@
 	return g.KeyWindow
 }
 
-// SetKeyWindow changes how long keys are remembered from now on.
+// SetKeyWindow changes how long idempotency keys are remembered from now on.
 func (g *Gate) SetKeyWindow(w time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.KeyWindow = w
 }
 
-func (g *Gate) room(d *Dispatch) error {
+func (g *Gate) checkCapacity(d *Dispatch) error {
 	switch {
 	case g.draining:
 		return fault.New(fault.Draining, "")
@@ -266,7 +269,7 @@
 	return nil
 }
 
-func (g *Gate) insert(d *Dispatch) *Record {
+func (g *Gate) enqueue(d *Dispatch) *Record {
 	g.order++
 	r := &Record{
 		ID: d.ID, Dispatch: d, ExpiresAt: d.Deadline, Dequeued: make(chan struct{}),
@@ -279,13 +282,13 @@
 	g.records[d.ID] = r
 	heap.Push(&g.expiry, r)
 	g.waiting = append(g.waiting, r)
-	g.start()
+	g.startQueued()
 	return r
 }
 
-// start runs the best of those that wait while there are slots: the highest
-// priority first, then the oldest.
-func (g *Gate) start() {
+// startQueued starts queued requests while there are free slots: those of the highest
+// priority first, and of these the oldest first.
+func (g *Gate) startQueued() {
 	for g.running < orDefault(g.Slots, defaultSlots) && len(g.waiting) > 0 {
 		best := g.waiting[0]
 		for _, r := range g.waiting[1:] {
@@ -295,39 +298,39 @@
 			}
 		}
 		if !g.latest.Before(best.Dispatch.Deadline) {
-			g.settle(best, Dropped, fault.PastDeadline)
+			g.dequeue(best, Dropped, fault.PastDeadline)
 			continue
 		}
 		g.running++
-		g.settle(best, Running, "")
+		g.dequeue(best, Running, "")
 	}
 }
 
-// Finish records that a running request has ended, and keeps its answer as far
-// as there is room.
+// Finish records that a running request has ended, and retains its answer if that fits
+// within MaxAnswerBytes.
 func (g *Gate) Finish(now time.Time, r *Record) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.clock(now)
+	g.advanceClock(now)
 	if r.State != Running {
-		panic("dispatch: a request finished that did not run")
+		panic("dispatch: Finish of a request that is not running")
 	}
 	r.State = Finished
 	g.running--
-	if size := r.Answer.size(); g.kept+size <= orDefault(g.MaxAnswerBytes, defaultMaxKept) {
-		g.kept += size
-		r.Answer.keep()
+	if size := r.Answer.size(); g.retainedBytes+size <= orDefault(g.MaxAnswerBytes, defaultMaxAnswerBytes) {
+		g.retainedBytes += size
+		r.Answer.retain()
 	} else {
 		r.Answer.release()
 	}
-	g.start()
+	g.startQueued()
 }
 
-// Void fences a request that has not started, or says how far it came.
+// Void fences a request that has not started, or returns how far it has got.
 func (g *Gate) Void(now time.Time, v *Void) VoidState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now = g.clock(now)
+	now = g.advanceClock(now)
 	if v.Incarnation != g.Incarnation {
 		return VoidUnknown
 	}
@@ -335,7 +338,7 @@
 		return g.voidKnown(r)
 	}
 	if !now.Before(v.Deadline) {
-		// What was forgotten may have run, and a frame that comes now is refused.
+		// The request may have run and its record expired; a frame that arrives now is refused.
 		return VoidUnknown
 	}
 	if !g.fence(v.ID, v.Deadline) {
@@ -345,7 +348,7 @@
 }
 
 func (g *Gate) voidKnown(r *Record) VoidState {
-	g.settle(r, Dropped, fault.Fenced)
+	g.dequeue(r, Dropped, fault.Fenced)
 	switch r.State {
 	case Dropped:
 		return VoidFenced
@@ -356,11 +359,11 @@
 	}
 }
 
-// Find returns the record of a request that ran or waits here.
+// Find returns the record of a request that was admitted here.
 func (g *Gate) Find(now time.Time, id RequestID) (*Record, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.clock(now)
+	g.advanceClock(now)
 	r, ok := g.records[id]
 	return r, ok && r.Answer != nil
 }
--- a/dispatch/gate_test.go
+++ b/dispatch/gate_test.go
@@ -25,12 +25,12 @@
 	return g
 }
 
-func ask(n int, deadline time.Time) *Dispatch {
+func newDispatch(n int, deadline time.Time) *Dispatch {
 	return &Dispatch{ID: id(n), Incarnation: 1, Service: "s", Digest: "d1", Deadline: deadline}
 }
 
-// fakeHome is a home that vouches for itself in full.
-func fakeHome(now time.Time) KeyHome {
+// longHome returns a key home that has been one for long and whose view is current.
+func longHome(now time.Time) KeyHome {
 	return KeyHome{IsHome: true, Since: now.Add(-time.Hour), FreshUntil: now.Add(time.Hour)}
 }
 
@@ -42,39 +42,39 @@
 		home KeyHome
 		want fault.Code
 	}{
-		{name: "another incarnation", make: func(*Gate) *Dispatch { d := ask(1, later); d.Incarnation = 2; return d }, want: fault.WrongIncarnation},
-		{name: "another version", make: func(*Gate) *Dispatch { d := ask(1, later); d.Digest = "d2"; return d }, want: fault.WrongVersion},
-		{name: "another service", make: func(*Gate) *Dispatch { d := ask(1, later); d.Service = "t"; return d }, want: fault.StaleView},
-		{name: "past its deadline", make: func(*Gate) *Dispatch { return ask(1, epoch) }, want: fault.PastDeadline},
-		{name: "a deadline too far", make: func(*Gate) *Dispatch { return ask(1, epoch.Add(time.Hour)) }, want: fault.BadRequest},
-		{name: "while draining", make: func(g *Gate) *Dispatch { g.Drain(); return ask(1, later) }, want: fault.Draining},
-		{name: "while shut", make: func(g *Gate) *Dispatch { g.Close(); return ask(1, later) }, want: fault.NotReady},
-		{name: "voided before it came", make: func(g *Gate) *Dispatch {
+		{name: "another incarnation", make: func(*Gate) *Dispatch { d := newDispatch(1, later); d.Incarnation = 2; return d }, want: fault.WrongIncarnation},
+		{name: "another version", make: func(*Gate) *Dispatch { d := newDispatch(1, later); d.Digest = "d2"; return d }, want: fault.WrongVersion},
+		{name: "another service", make: func(*Gate) *Dispatch { d := newDispatch(1, later); d.Service = "t"; return d }, want: fault.StaleView},
+		{name: "past its deadline", make: func(*Gate) *Dispatch { return newDispatch(1, epoch) }, want: fault.PastDeadline},
+		{name: "a deadline too far ahead", make: func(*Gate) *Dispatch { return newDispatch(1, epoch.Add(time.Hour)) }, want: fault.BadRequest},
+		{name: "while draining", make: func(g *Gate) *Dispatch { g.Drain(); return newDispatch(1, later) }, want: fault.Draining},
+		{name: "while closed", make: func(g *Gate) *Dispatch { g.Close(); return newDispatch(1, later) }, want: fault.NotReady},
+		{name: "voided before it arrived", make: func(g *Gate) *Dispatch {
 			g.Void(epoch, &Void{ID: id(1), Incarnation: 1, Deadline: later})
-			return ask(1, later)
+			return newDispatch(1, later)
 		}, want: fault.Fenced},
-		{name: "a second copy of its frame", make: func(g *Gate) *Dispatch {
-			_, _, _ = g.Admit(epoch, ask(1, later), KeyHome{})
-			return ask(1, later)
+		{name: "a duplicate frame", make: func(g *Gate) *Dispatch {
+			_, _, _ = g.Admit(epoch, newDispatch(1, later), KeyHome{})
+			return newDispatch(1, later)
 		}, want: fault.Duplicate},
 		{name: "more than slots and queue", make: func(g *Gate) *Dispatch {
 			for n := 2; n < 6; n++ {
-				_, _, _ = g.Admit(epoch, ask(n, later), KeyHome{})
+				_, _, _ = g.Admit(epoch, newDispatch(n, later), KeyHome{})
 			}
-			return ask(1, later)
+			return newDispatch(1, later)
 		}, want: fault.QueueFull},
-		{name: "a key that has another home", make: func(*Gate) *Dispatch { return keyed(1, "k", later) }, want: fault.NotHome},
+		{name: "a key that has another home", make: func(*Gate) *Dispatch { return newKeyedDispatch(1, "k", later) }, want: fault.NotHome},
 		{
-			name: "a key while its home is new", make: func(*Gate) *Dispatch { return keyed(1, "k", later) },
+			name: "a key whose home is recovering", make: func(*Gate) *Dispatch { return newKeyedDispatch(1, "k", later) },
 			home: KeyHome{IsHome: true, Since: epoch.Add(-time.Second), FreshUntil: later}, want: fault.HomeRecovering,
 		},
 		{
-			name: "a key on an old view", make: func(*Gate) *Dispatch { return keyed(1, "k", later) },
+			name: "a key with an expired view", make: func(*Gate) *Dispatch { return newKeyedDispatch(1, "k", later) },
 			home: KeyHome{IsHome: true, FreshUntil: epoch.Add(-time.Second)}, want: fault.ViewExpired,
 		},
 		{name: "a key used for another request", make: func(g *Gate) *Dispatch {
-			_, _, _ = g.Admit(epoch, keyed(2, "k", later), fakeHome(epoch))
-			d := keyed(1, "k", later)
+			_, _, _ = g.Admit(epoch, newKeyedDispatch(2, "k", later), longHome(epoch))
+			d := newKeyedDispatch(1, "k", later)
 			d.KeyDigest = "other"
 			return d
 		}, want: fault.KeyReused},
@@ -89,42 +89,42 @@
 	}
 }
 
-func keyed(n int, key string, deadline time.Time) *Dispatch {
-	d := ask(n, deadline)
+func newKeyedDispatch(n int, key string, deadline time.Time) *Dispatch {
+	d := newDispatch(n, deadline)
 	d.Key, d.Unsafe = key, true
 	return d
 }
 
-// A frame refused for a reason that passes must not start when it comes again:
-// its caller was told "not run".
+// A frame that was refused for a temporary reason must not start when a duplicate of it
+// arrives later: its caller has been sent "not run".
 func TestRefusedFrameStaysRefused(t *testing.T) {
 	is := is.New(t)
 	g := openGate()
 	g.Close()
-	_, _, err := g.Admit(epoch, ask(1, epoch.Add(time.Second)), KeyHome{})
+	_, _, err := g.Admit(epoch, newDispatch(1, epoch.Add(time.Second)), KeyHome{})
 	is.Equal(fault.CodeOf(err), fault.NotReady)
 	g.Open("s", "d1")
-	_, _, err = g.Admit(epoch, ask(1, epoch.Add(time.Second)), KeyHome{})
+	_, _, err = g.Admit(epoch, newDispatch(1, epoch.Add(time.Second)), KeyHome{})
 	is.Equal(fault.CodeOf(err), fault.Fenced)
 }
 
-// A clock that is set back must not bring a fence's deadline back to life.
+// After a fence has expired, setting the clock back must not make its request admissible.
 func TestClockSetBackDoesNotStartALateFrame(t *testing.T) {
 	is := is.New(t)
 	g := openGate()
 	deadline := epoch.Add(time.Second)
 	is.Equal(g.Void(epoch, &Void{ID: id(1), Incarnation: 1, Deadline: deadline}), VoidFenced)
 	_, _ = g.Find(epoch.Add(2*time.Second), id(9)) // The fence expires.
-	_, _, err := g.Admit(epoch, ask(1, deadline), KeyHome{})
+	_, _, err := g.Admit(epoch, newDispatch(1, deadline), KeyHome{})
 	is.Equal(fault.CodeOf(err), fault.PastDeadline)
 }
 
-// ledger is what a model of callers and upstream knows, for the property below.
-type ledger struct {
+// gateModel models the callers and the upstream of a gate for the property test below.
+type gateModel struct {
 	g       *Gate
 	now     time.Time
 	started map[RequestID]int
-	notRun  map[RequestID]bool // Told "not run".
+	notRun  map[RequestID]bool // Reported as not run.
 	waiting map[RequestID]*Record
 	running map[RequestID]*Record
 	digest  string
@@ -137,128 +137,129 @@
 	until time.Time
 }
 
-// TestGateKeepsItsPromises draws any order of dispatches, repeats, voids, ends,
-// swaps, drains and clock changes, and holds the gate to: a request starts at
-// most once; one that was told "not run" never starts; nothing runs across a
-// swap; a key runs once in its window; no more run than there are slots.
+// TestGateKeepsItsPromises runs random sequences of dispatches, duplicates, voids, finished
+// requests, changes of version and clock changes, and checks that a request starts at most
+// once, that one reported as not run never starts, that no request starts on another version
+// than its own, that a key starts once within its window, and that no more requests run than
+// there are slots.
 func TestGateKeepsItsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &ledger{
+		m := &gateModel{
 			g: openGate(), now: epoch, started: map[RequestID]int{}, notRun: map[RequestID]bool{},
 			waiting: map[RequestID]*Record{}, running: map[RequestID]*Record{}, digest: "d1", keys: map[string]keyRun{},
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"dispatch": l.dispatch,
-			"void":     l.void,
-			"finish":   l.finish,
-			"swap":     l.swap,
-			"clock":    l.clock,
-			"":         l.check,
+			"dispatch": m.dispatch,
+			"void":     m.void,
+			"finish":   m.finish,
+			"swap":     m.swap,
+			"clock":    m.clock,
+			"":         m.verify,
 		})
 	})
 }
 
-func (l *ledger) dispatch(t *rapid.T) {
-	n := rapid.IntRange(0, l.seq+1).Draw(t, "id") // An old one is a late or doubled frame.
-	l.seq = max(l.seq, n)
-	d := ask(n, epoch.Add(time.Duration(n%7+1)*time.Second))
+func (m *gateModel) dispatch(t *rapid.T) {
+	n := rapid.IntRange(0, m.seq+1).Draw(t, "id") // An old number is a delayed or duplicate frame.
+	m.seq = max(m.seq, n)
+	d := newDispatch(n, epoch.Add(time.Duration(n%7+1)*time.Second))
 	d.Digest = rapid.SampledFrom([]string{"d1", "d2"}).Draw(t, "digest")
 	if n%3 == 0 {
 		d.Key, d.Unsafe = string(rune('a'+n/3%2)), true
 	}
-	rec, repeat, err := l.g.Admit(l.now, d, fakeHome(l.now))
+	rec, repeat, err := m.g.Admit(m.now, d, longHome(m.now))
 	switch {
 	case err != nil:
-		if c := fault.CodeOf(err); c != fault.Duplicate && c != fault.OutcomeUnknown && l.started[d.ID] == 0 {
-			l.notRun[d.ID] = true
+		if c := fault.CodeOf(err); c != fault.Duplicate && c != fault.OutcomeUnknown && m.started[d.ID] == 0 {
+			m.notRun[d.ID] = true
 		}
 	case repeat:
-		if k, ok := l.keys[d.Key]; !ok || k.id != rec.ID {
+		if k, ok := m.keys[d.Key]; !ok || k.id != rec.ID {
 			t.Fatalf("key %q answered by %v", d.Key, rec.ID)
 		}
 	default:
-		l.waiting[d.ID] = rec
+		m.waiting[d.ID] = rec
 	}
 }
 
-func (l *ledger) void(t *rapid.T) {
-	n := rapid.IntRange(0, l.seq+1).Draw(t, "id")
-	l.seq = max(l.seq, n)
+func (m *gateModel) void(t *rapid.T) {
+	n := rapid.IntRange(0, m.seq+1).Draw(t, "id")
+	m.seq = max(m.seq, n)
 	v := &Void{ID: id(n), Incarnation: 1, Deadline: epoch.Add(time.Duration(n%7+1) * time.Second)}
-	switch l.g.Void(l.now, v) {
+	switch m.g.Void(m.now, v) {
 	case VoidFenced:
-		if l.started[v.ID] > 0 {
+		if m.started[v.ID] > 0 {
 			t.Fatalf("%v was fenced after it started", v.ID)
 		}
-		l.notRun[v.ID] = true
+		m.notRun[v.ID] = true
 	case VoidRunning:
-		if l.running[v.ID] == nil && l.started[v.ID] == 0 {
-			if r := l.waiting[v.ID]; r == nil || r.State != Running {
+		if m.running[v.ID] == nil && m.started[v.ID] == 0 {
+			if r := m.waiting[v.ID]; r == nil || r.State != Running {
 				t.Fatalf("%v does not run", v.ID)
 			}
 		}
 	}
 }
 
-func (l *ledger) finish(t *rapid.T) {
-	for id, r := range l.running {
-		l.g.Finish(l.now, r)
-		delete(l.running, id)
+func (m *gateModel) finish(t *rapid.T) {
+	for id, r := range m.running {
+		m.g.Finish(m.now, r)
+		delete(m.running, id)
 		return
 	}
 }
 
-func (l *ledger) swap(t *rapid.T) {
-	l.g.Close()
-	l.check(t)
-	if l.g.Idle() {
-		l.digest = rapid.SampledFrom([]string{"d1", "d2"}).Draw(t, "to")
-		l.g.Open("s", l.digest)
+func (m *gateModel) swap(t *rapid.T) {
+	m.g.Close()
+	m.verify(t)
+	if m.g.Idle() {
+		m.digest = rapid.SampledFrom([]string{"d1", "d2"}).Draw(t, "to")
+		m.g.Open("s", m.digest)
 	}
 }
 
-func (l *ledger) clock(t *rapid.T) {
+func (m *gateModel) clock(t *rapid.T) {
 	step := rapid.Int64Range(-2000, 3000).Draw(t, "ms")
-	l.now = l.now.Add(time.Duration(step) * time.Millisecond)
+	m.now = m.now.Add(time.Duration(step) * time.Millisecond)
 }
 
-// check looks at what the gate started since.
-func (l *ledger) check(t *rapid.T) {
-	for id, r := range l.waiting {
+// verify checks the requests that the gate has started or dropped since the last check.
+func (m *gateModel) verify(t *rapid.T) {
+	for id, r := range m.waiting {
 		select {
 		case <-r.Dequeued:
 		default:
 			continue
 		}
-		delete(l.waiting, id)
+		delete(m.waiting, id)
 		if r.State == Dropped {
-			l.notRun[id] = true
+			m.notRun[id] = true
 			continue
 		}
-		l.started[id]++
-		l.running[id] = r
-		if l.started[id] > 1 || l.notRun[id] {
-			t.Fatalf("%v started %d times, told not run: %t", id, l.started[id], l.notRun[id])
+		m.started[id]++
+		m.running[id] = r
+		if m.started[id] > 1 || m.notRun[id] {
+			t.Fatalf("%v started %d times, reported as not run: %t", id, m.started[id], m.notRun[id])
 		}
-		if r.Dispatch.Digest != l.digest {
-			t.Fatalf("%v of %s started on %s", id, r.Dispatch.Digest, l.digest)
+		if r.Dispatch.Digest != m.digest {
+			t.Fatalf("%v of %s started on %s", id, r.Dispatch.Digest, m.digest)
 		}
-		l.startKey(t, r)
+		m.startKey(t, r)
 	}
-	if len(l.running) > 2 {
-		t.Fatalf("%d run on 2 slots", len(l.running))
+	if len(m.running) > 2 {
+		t.Fatalf("%d requests run in 2 slots", len(m.running))
 	}
 }
 
-func (l *ledger) startKey(t *rapid.T, r *Record) {
+func (m *gateModel) startKey(t *rapid.T, r *Record) {
 	key := r.Dispatch.Key
 	if key == "" {
 		return
 	}
-	if k, ok := l.keys[key]; ok && l.g.latest.Before(k.until) {
+	if k, ok := m.keys[key]; ok && m.g.latest.Before(k.until) {
 		t.Fatalf("key %q started twice in its window", key)
 	}
-	l.keys[key] = keyRun{r.ID, r.ExpiresAt}
+	m.keys[key] = keyRun{r.ID, r.ExpiresAt}
 }
 
 func TestAnswerIsFollowedFromAnyPart(t *testing.T) {
@@ -290,7 +291,7 @@
 	})
 }
 
-func TestBrokenAnswerIsNeverEnded(t *testing.T) {
+func TestFailedAnswerHasNoLastMessage(t *testing.T) {
 	is := is.New(t)
 	a := &Answer{}
 	a.Begin(&AnswerHead{ID: id(1)})
@@ -315,7 +316,7 @@
 		now := epoch.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 		step, _ := Decide(now, d, r, 4, func(time.Time) bool { return true })
 		if step == Retry && (r.AnswerStarted || r.Outcome == Unknown && d.Unsafe || !now.Before(d.Deadline) || d.ID.Attempt >= 3) {
-			t.Fatalf("tried again: %+v after %+v", d, r)
+			t.Fatalf("retried %+v after %+v", d, r)
 		}
 		if (step == Deliver) != (r.Outcome == Done) {
 			t.Fatalf("%+v was delivered: %t", r, step == Deliver)
--- a/dispatch/message.go
+++ b/dispatch/message.go
@@ -7,27 +7,27 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// RequestID names one attempt at a request in the whole fleet. A gateway that restarts draws
-// another incarnation, so its new ids never meet answers to its old ones.
+// RequestID identifies one attempt at a request across the fleet. A gateway has a new
+// incarnation after each restart, so its new IDs never match answers to its old ones.
 type RequestID struct {
-	Incarnation uint64 // Of the gateway that took the request from its caller.
+	Incarnation uint64 // Of the gateway that received the request from the caller.
 	Seq         uint64
-	Attempt     int // Counts from 0; each try is fenced and answered by itself.
+	Attempt     int // Counts from 0; each attempt is fenced and answered separately.
 }
 
 // Dispatch asks a box to run a request.
 type Dispatch struct {
 	ID           RequestID
-	Incarnation  uint64 // Of the agent it is meant for; zero when it is forwarded to a gateway.
+	Incarnation  uint64 // Of the agent that it is sent to; zero if it is forwarded to a gateway.
 	Service      string
 	Digest       string // The version that must answer; empty for a plain service.
-	Revision     uint64 // The configuration that decided this dispatch.
+	Revision     uint64 // Of the configuration that the gateway used for this dispatch.
 	Deadline     time.Time
 	Unsafe       bool
-	Key          string // Idempotency key with its organisation, or empty.
-	KeyDigest    string // Of the request, to refuse a key that is used for two.
+	Key          string // Idempotency key prefixed with the organisation, or empty.
+	KeyDigest    string // Of the request, to refuse a key that is reused for another request.
 	Organisation string
-	Priority     int // Higher goes first.
+	Priority     int // Higher values start first.
 	Stream       bool
 	Adapter      string
 	Method       string
@@ -51,23 +51,22 @@
 	Data []byte
 }
 
-// AnswerEnd marks a whole answer.
+// AnswerEnd is the last message of a complete answer.
 type AnswerEnd struct {
 	ID  RequestID
 	Seq int    // The number of AnswerData messages.
-	Sum string // Digest of the whole body.
+	Sum string // Digest of the complete body.
 }
 
-// Refusal says that a dispatch was not run and never will be, unless Ran says
-// that it may have.
+// Refusal reports that a dispatch has not run and never will, unless MayHaveRun is set.
 type Refusal struct {
 	ID         RequestID
 	Reason     fault.Code
-	MayHaveRun bool      // The outcome is Unknown and not NotRun.
-	RetryAt    time.Time // When to come back, or zero.
+	MayHaveRun bool      // The outcome is Unknown instead of NotRun.
+	RetryAt    time.Time // When to retry, or zero.
 }
 
-// Void asks that a request never start.
+// Void requests that a dispatch which has not started never start.
 type Void struct {
 	ID          RequestID
 	Incarnation uint64
@@ -91,14 +90,14 @@
 	State VoidState
 }
 
-// Attach asks for the rest of an answer, after a connection was lost.
+// Attach requests the rest of an answer after a connection was lost.
 type Attach struct {
 	ID          RequestID
 	Incarnation uint64
 	From        int // The first AnswerData that is missing.
 }
 
-// Report tells a gateway how an agent stands.
+// Report is the state of an agent, sent to gateways.
 type Report struct {
 	Incarnation uint64
 	Service     string
@@ -108,18 +107,18 @@
 	Running     int
 	Queued      int
 	Slots       int
-	At          time.Time // By the agent's clock; only orders reports of one agent.
+	At          time.Time // By the agent's clock; only for ordering reports of one agent.
 }
 
-// Subscribe asks an agent for its Reports, on the same stream.
+// Subscribe requests Reports from an agent. They are sent on the same stream.
 type Subscribe struct {
 	Box string
 }
 
-// StateRequest asks an agent for one Report.
+// StateRequest requests one Report from an agent.
 type StateRequest struct{}
 
-// String names the state for logs and counters.
+// String returns the name of the state for logs and metrics.
 func (s VoidState) String() string {
 	switch s {
 	case VoidFenced:
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -6,17 +6,17 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Outcome is what is known of a dispatch once it is over.
+// Outcome is what is known about a dispatch after it has ended.
 type Outcome int
 
-// Outcomes. There is never a fourth.
+// Outcomes of a dispatch.
 const (
-	Unknown Outcome = iota // It may have run. The zero value, so that doubt is the default.
-	NotRun                 // Proved: it never started anywhere, and cannot.
-	Done                   // The whole answer was seen.
+	Unknown Outcome = iota // The request may have run. The zero value, so that it is the default.
+	NotRun                 // It is proved that the request has not started anywhere and cannot start.
+	Done                   // The complete answer was received.
 )
 
-// String returns the word that callers are told.
+// String returns the name of the outcome as reported to callers.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -32,17 +32,17 @@
 type Result struct {
 	Outcome       Outcome
 	Reason        fault.Code
-	RetryAt       time.Time // When the refusing side suggests to come back, or zero.
-	AnswerStarted bool      // Parts of the answer have already gone to the caller.
+	RetryAt       time.Time // When to retry, as suggested by the refusing side, or zero.
+	AnswerStarted bool      // Parts of the answer have already been sent to the caller.
 }
 
-// Attempts is what all attempts at one request amount to. The zero value has none.
+// Attempts combines the results of all attempts at one request. The zero value has none.
 type Attempts struct {
 	mayHaveRun bool
 }
 
-// Add returns an attempt's result as it stands for the whole request: once an
-// attempt may have run, no later one can make the request "not run".
+// Add adds the result of an attempt and returns the result of the request as a whole: once
+// an attempt may have run, a later one cannot make the outcome NotRun.
 func (t *Attempts) Add(r Result) Result {
 	t.mayHaveRun = t.mayHaveRun || r.Outcome == Unknown
 	if t.mayHaveRun && r.Outcome == NotRun {
@@ -51,23 +51,23 @@
 	return r
 }
 
-// Step is what a gateway does next.
+// Step is what a gateway does after a dispatch has ended.
 type Step int
 
 // Steps after a dispatch.
 const (
-	GiveUp Step = iota // Tell the caller the outcome at once.
+	GiveUp Step = iota // Report the outcome to the caller at once.
 	Deliver
 	Retry
 )
 
-// Budget says whether a retry may be spent now.
+// Budget reports whether the retry budget allows a retry now, and spends it if so.
 type Budget func(now time.Time) bool
 
-// Decide says what follows a result. Only a request that is proved not to have
-// run, or that is safe to repeat, is tried again; and only while nothing of an
-// answer reached the caller, its deadline is ahead, and the budget allows.
-// The returned code is why no further try is made, if that is not the result's.
+// Decide returns the next step after a result. A request is retried only if it is proved
+// not to have run or is safe to repeat, and only while no part of an answer has been sent
+// to the caller, its deadline has not passed, and the retry budget allows it. The returned
+// code is the reason for giving up.
 func Decide(now time.Time, d *Dispatch, r Result, maxAttempts int, spend Budget) (Step, fault.Code) {
 	if r.Outcome == Done {
 		return Deliver, ""
@@ -90,8 +90,9 @@
 	return Retry, ""
 }
 
-// retryable reports whether another box could do better. A keyed request has
-// one home, and a caller's own mistake stays one.
+// retryable reports whether a retry on another box could succeed. A request with an
+// idempotency key can run only at the key's home, and an invalid request is invalid on
+// every box.
 func retryable(c fault.Code) bool {
 	switch c {
 	case fault.BadRequest, fault.KeyReused, fault.ViewExpired, fault.HomeRecovering,
