--- a/route/limit.go
+++ b/route/limit.go
@@ -9,16 +9,17 @@
 	"github.com/poststand/poststand/limit"
 )
 
-// Limit is what an answer says of how many requests its replica takes from all gateways
-// together. The zero value is that of a replica of which nothing was heard: it names none.
+// Limit is the request rate that a replica accepts from all gateways together, as stated in an
+// answer. The zero value, used for a replica that has not answered yet, means that no limit is
+// stated.
 type Limit struct {
-	Named     bool
-	PerSecond float64   // At least 0; 0 also where none is named.
-	Asked     time.Time // The answer was made after this
-	Heard     time.Time // and before this.
+	Named     bool      // Whether a limit is stated.
+	PerSecond float64   // At least 0; 0 if no limit is stated.
+	Asked     time.Time // When the request was sent: the answer was made later.
+	Heard     time.Time // When the answer was received: it was made earlier.
 }
 
-// String returns the requests a second, or "none".
+// String returns the limit in requests per second, or "none".
 func (l Limit) String() string {
 	if !l.Named {
 		return "none"
@@ -26,89 +27,90 @@
 	return strconv.FormatFloat(l.PerSecond, 'f', -1, 64)
 }
 
-// SameRate reports whether l and o allow the same.
+// SameRate reports whether l and o allow the same rate.
 func (l Limit) SameRate(o Limit) bool { return l.Named == o.Named && l.PerSecond == o.PerSecond }
 
-// below reports whether l allows less than o.
-func (l Limit) below(o Limit) bool {
+// lowerThan reports whether l allows a lower rate than o.
+func (l Limit) lowerThan(o Limit) bool {
 	return l.Named && (!o.Named || l.PerSecond < o.PerSecond)
 }
 
-// then returns what is believed once o is heard after l. Answers overtake one another: where
-// it is not certain which is the newer one, the lower limit holds.
-func (l Limit) then(o Limit) Limit {
+// merge returns the limit in force after o is received when l was in force. Answers can arrive
+// out of order: where it is not certain which of the two is newer, the lower limit holds.
+func (l Limit) merge(o Limit) Limit {
 	switch {
 	case !o.Asked.Before(l.Heard):
 		return o
-	case !l.Asked.Before(o.Heard), l.below(o):
+	case !l.Asked.Before(o.Heard), l.lowerThan(o):
 		return l
-	case o.below(l):
+	case o.lowerThan(l):
 		return o
 	}
 	l.Asked, l.Heard = times.Later(l.Asked, o.Asked), times.Later(l.Heard, o.Heard)
 	return l
 }
 
-// permits is what a gateway was told of the permits for a replica that has a limit.
-type permits struct {
-	// noneUntil is, for each rank of requests, until when no permit is to be asked for.
-	noneUntil [limit.NumRanks]time.Time
+// permitState is what a gateway knows of the permits for a replica that has a rate limit.
+type permitState struct {
+	// deniedUntil is, for each rank of requests, the time until which no permit is to be
+	// requested.
+	deniedUntil [limit.NumRanks]time.Time
 }
 
-// none takes note that requests of a rank, and of less urgent ones, get no permit until a time.
-func (p *permits) none(rank int, until time.Time) {
-	for i := rankOf(rank); i < limit.NumRanks; i++ {
-		p.noneUntil[i] = times.Later(p.noneUntil[i], until)
+// deny records that requests of a rank and of less urgent ranks get no permit until a time.
+func (p *permitState) deny(rank int, until time.Time) {
+	for i := clampRank(rank); i < limit.NumRanks; i++ {
+		p.deniedUntil[i] = times.Later(p.deniedUntil[i], until)
 	}
 }
 
-// rankOf bounds a rank: less urgent ones count as the least urgent.
-func rankOf(rank int) int { return max(0, min(limit.NumRanks-1, rank)) }
+// clampRank maps ranks beyond the least urgent one to the least urgent one.
+func clampRank(rank int) int { return max(0, min(limit.NumRanks-1, rank)) }
 
-// backAt is when a permit may be asked for again for a request of a rank.
-func (p *permits) backAt(rank int) time.Time {
-	return p.noneUntil[rankOf(rank)]
+// availableAt returns when a permit may be requested again for a request of a rank.
+func (p *permitState) availableAt(rank int) time.Time {
+	return p.deniedUntil[clampRank(rank)]
 }
 
-// RecordNoPermit records that requests of a rank, and of less urgent ones, get no permit at a replica
-// until a time.
-func (t *Table) RecordNoPermit(k *Reservation, rank int, until time.Time) {
+// RecordNoPermit records that requests of a rank and of less urgent ranks get no permit for the
+// reserved replica until a time.
+func (t *Table) RecordNoPermit(res *Reservation, rank int, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k.replica.permits.none(rank, until)
+	res.replica.permits.deny(rank, until)
 }
 
-// RecordPermit records that a request has a permit at its replica until a time.
-func (t *Table) RecordPermit(k *Reservation, until time.Time) {
+// RecordPermit records that a request holds a permit for its reserved replica until a time.
+func (t *Table) RecordPermit(res *Reservation, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k.permitUntil = until
+	res.permitUntil = until
 }
 
-// Limit returns what is believed of how much a life of a replica takes.
-func (t *Table) Limit(l fleet.Incarnation) Limit {
+// Limit returns the rate limit currently in force for an incarnation of a replica.
+func (t *Table) Limit(inc fleet.Incarnation) Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r := t.replicas[l.ID]; r != nil && r.Matches(l) {
+	if r := t.replicas[inc.ID]; r != nil && r.Matches(inc) {
 		return r.limit
 	}
-	return t.past[l].limit
+	return t.past[inc].limit
 }
 
-// sentFor is how long a send counts in what was sent of late.
-const sentFor = 4 * time.Second
+// sendWindow is how long a sent request is counted by RecordSend.
+const sendWindow = 4 * time.Second
 
-// sends is when requests were sent to a replica of late, the oldest first.
-type sends []time.Time
+// recentSends is when requests were sent to a replica within sendWindow, oldest first.
+type recentSends []time.Time
 
-func (s *sends) add(now time.Time) {
-	s.forget(now)
+func (s *recentSends) add(now time.Time) {
+	s.expire(now)
 	*s = append(*s, now)
 }
 
-func (s *sends) forget(now time.Time) {
+func (s *recentSends) expire(now time.Time) {
 	n := 0
-	for n < len(*s) && now.Sub((*s)[n]) >= sentFor {
+	for n < len(*s) && now.Sub((*s)[n]) >= sendWindow {
 		n++
 	}
 	*s = (*s)[n:]
--- /dev/null
+++ b/route/reservation.go
@@ -0,0 +1,91 @@
+package route
+
+import "time"
+
+// Reservation is a request's place at the replica that was chosen for it.
+type Reservation struct {
+	replica       *Replica
+	workload      Workload
+	pickedAt      time.Time // When the replica was chosen.
+	gotFirstEvent bool
+	// permitUntil is when the request's permit for a rate-limited replica expires; zero without
+	// a permit.
+	permitUntil time.Time
+}
+
+// RecordFirstEvent records that the first event of a request arrived, and the measured and
+// predicted time that it took.
+func (t *Table) RecordFirstEvent(now time.Time, res *Reservation, took, predicted time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := res.replica
+	r.waitingSince, r.answeredAt = now, now
+	res.gotFirstEvent = true
+	r.endProbe(res)
+	r.prefilling--
+	r.prefillTokens -= res.workload.PromptTokens
+	r.decoding++
+	r.failures, r.ejections = 0, 0
+	if predicted > 0 {
+		r.recordLatencyRatio(float64(took) / float64(predicted) * r.latencyRatio)
+	}
+}
+
+// recordLatencyRatio adds a sample of the measured over the predicted latency to the smoothed
+// ratio. Increases have a greater weight than decreases.
+func (r *Replica) recordLatencyRatio(ratio float64) {
+	ratio = min(maxLatencyRatio, max(1/maxLatencyRatio, ratio))
+	weight := ratioWeight
+	if ratio > r.latencyRatio {
+		weight = ratioWeightUp
+	}
+	r.latencyRatio += weight * (ratio - r.latencyRatio)
+}
+
+// RequestResult is how a request at a replica ended.
+type RequestResult struct {
+	Failed   bool
+	Answered bool   // The headers of an answer arrived.
+	Full     bool   // The replica refused for lack of capacity.
+	NotHeld  bool   // The replica refused because it does not hold what was requested.
+	Version  uint64 // Version that answered; 0 if unknown.
+}
+
+// Done records that a request at a replica has ended, and releases its reservation.
+func (t *Table) Done(now time.Time, res *Reservation, result RequestResult) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := res.replica
+	if res.gotFirstEvent {
+		r.decoding--
+	} else {
+		r.prefilling--
+		r.prefillTokens -= res.workload.PromptTokens
+	}
+	if r.prefilling < 0 || r.decoding < 0 || r.prefillTokens < 0 {
+		panic("route: a request ended twice")
+	}
+	if result.Version > 0 {
+		r.servedVersion = result.Version
+	}
+	if result.Full {
+		r.fullUntil = now.Add(fullBackoff)
+	} else if result.Answered {
+		r.endProbe(res)
+	}
+	if result.NotHeld {
+		r.notHeldAt = now
+	}
+	if !result.Failed {
+		return
+	}
+	if !res.gotFirstEvent {
+		r.recordLatencyRatio(2 * r.latencyRatio)
+	}
+	r.failures++
+	if r.failures >= replicaEjectAfter {
+		r.ejectedUntil = now.Add(min(replicaEjectMax, replicaEjectBase<<min(r.ejections, 5)))
+		r.ejections++
+		r.failures = 0
+	}
+}
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -26,7 +26,7 @@
 	return dispatch.Report{Incarnation: 1, Service: "s", Digest: digest, Ready: true, Slots: 8, At: at}
 }
 
-func ready(n int, digest string) *Router {
+func readyRouter(n int, digest string) *Router {
 	r := &Router{}
 	var boxes []fleet.Box
 	for i := range n {
@@ -39,29 +39,29 @@
 	return r
 }
 
-// A gateway moves to the wanted version once enough replicas confirmed it, and
-// not back to the older one when they go, until a newer configuration says so.
+// A gateway moves to the target version once enough replicas are ready with it, and does not
+// return to the older one when they disappear, unless a newer configuration requests it.
 func TestRolloutDoesNotGoBackByItself(t *testing.T) {
 	is := is.New(t)
-	r, o := ready(4, "v1"), &Rollout{}
+	r, o := readyRouter(4, "v1"), &Rollout{}
 	v1 := Target{Service: "s", Digest: "v1", Revision: 1, MinReady: 2}
 	v2 := Target{Service: "s", Digest: "v2", Revision: 2, MinReady: 2}
 	is.Equal(o.Version(epoch, v1, r), "v1")
 	r.UpdateReport(epoch, "b0", report("v2", epoch.Add(1)))
-	is.Equal(o.Version(epoch, v2, r), "v1") // One of two that are needed.
+	is.Equal(o.Version(epoch, v2, r), "v1") // Ready on one of the two that are needed.
 	r.UpdateReport(epoch, "b1", report("v2", epoch.Add(1)))
 	is.Equal(o.Version(epoch, v2, r), "v2")
 	r.MarkDisconnected("b0")
 	r.MarkDisconnected("b1")
-	is.Equal(o.Version(epoch, v2, r), "v2") // Two boxes of v1 are ready, and are not asked.
-	is.Equal(o.Version(epoch, v1, r), "v2") // A request that an older view decided.
+	is.Equal(o.Version(epoch, v2, r), "v2") // Two boxes are ready with v1, which is not requested.
+	is.Equal(o.Version(epoch, v1, r), "v2") // An older view must not move it back.
 	v3 := v1
 	v3.Revision = 3
 	is.Equal(o.Version(epoch, v3, r), "v1") // Rolled back by a newer configuration.
 }
 
-// Whatever order reports come in, and however often, the table ends with the
-// newest of the newest incarnation.
+// Whatever the order of reports, and with duplicates, the table ends with the newest report of
+// the newest incarnation.
 func TestReportsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "reports")
@@ -87,10 +87,10 @@
 	})
 }
 
-// A bad moment, in which every upstream fails, cannot empty a hall.
+// A moment in which all upstreams fail does not empty a hall.
 func TestEjectionLeavesMostInService(t *testing.T) {
 	is := is.New(t)
-	r := ready(9, "v")
+	r := readyRouter(9, "v")
 	for i := range 9 {
 		for range 5 * ejectAfter {
 			r.Done(epoch, box(i).Name, 1, DispatchResult{Failed: true})
@@ -112,12 +112,12 @@
 		name string
 		do   func(r *Router)
 	}{
-		{"one that drains", func(r *Router) { r.RecordRefusal("b0", 1, fault.Draining) }},
-		{"one that is not ready", func(r *Router) { r.RecordRefusal("b0", 1, fault.NotReady) }},
-		{"one whose connection ended", func(r *Router) { r.MarkDisconnected("b0") }},
-		{"one of another version", func(r *Router) { r.UpdateReport(later, "b0", report("w", later)) }},
-		{"one that is no longer placed", func(r *Router) { r.Sync([]fleet.Box{box(1), box(2)}) }},
-		{"one that failed again and again", func(r *Router) {
+		{"draining", func(r *Router) { r.RecordRefusal("b0", 1, fault.Draining) }},
+		{"not ready", func(r *Router) { r.RecordRefusal("b0", 1, fault.NotReady) }},
+		{"disconnected", func(r *Router) { r.MarkDisconnected("b0") }},
+		{"another version", func(r *Router) { r.UpdateReport(later, "b0", report("w", later)) }},
+		{"no longer placed", func(r *Router) { r.Sync([]fleet.Box{box(1), box(2)}) }},
+		{"repeated failures", func(r *Router) {
 			for range ejectAfter {
 				r.Done(later, "b0", 1, DispatchResult{Failed: true})
 			}
@@ -126,7 +126,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			r := ready(3, "v")
+			r := readyRouter(3, "v")
 			tc.do(r)
 			for range 200 {
 				u, err := r.Pick(later, Query{Service: "s", Digest: "v"})
@@ -138,12 +138,12 @@
 	}
 }
 
-// One prompt's beginning goes to one upstream while that has room, and spills
-// over when it has not.
-func TestPrefixIsKeptTogetherUntilItIsTooMuch(t *testing.T) {
+// Requests with the same prefix go to one upstream while it has capacity, and spill over when
+// it has none.
+func TestPrefixSpillsOver(t *testing.T) {
 	is := is.New(t)
 	later := epoch.Add(10 * time.Second)
-	r := ready(5, "v")
+	r := readyRouter(5, "v")
 	q := Query{Service: "s", Digest: "v", Prefix: "the same beginning"}
 	first, err := r.Pick(later, q)
 	is.NoErr(err)
@@ -158,7 +158,7 @@
 	is.True(len(used) >= 4)
 }
 
-func TestNobodyReadyIsSaid(t *testing.T) {
+func TestPickWithoutReadyUpstream(t *testing.T) {
 	is := is.New(t)
 	_, err := (&Router{}).Pick(epoch, Query{Service: "s"})
 	is.Equal(fault.CodeOf(err), fault.NoUpstream)
