--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -8,21 +8,21 @@
 	"github.com/poststand/poststand/quarantine"
 )
 
-// full is a table as it is after a hall of 500 replicas has lost power, eight requests
-// of a gateway each.
-func full() *quarantine.Table {
+// fullTable returns a table as it is after a hall of 500 replicas has lost power, with eight
+// requests of one gateway at each.
+func fullTable() *quarantine.Table {
 	var t quarantine.Table
 	for i := range 4096 {
-		play(&t, []step{{i / 100, fmt.Sprint("n", i), fmt.Sprint("x", i/8), 1}})
+		apply(&t, []step{{i / 100, fmt.Sprint("n", i), fmt.Sprint("x", i/8), 1}})
 	}
 	return &t
 }
 
-// What a request costs that nobody suspects: a look before it is sent and a note when it was
-// served. 0.10 to 0.11 us, and nothing before there was a Table; at 83 requests a second of
-// a gateway that is 0.001% of a core.
+// The cost for a request that is not suspect: a lookup before it is sent and a record of its
+// success. It is 0.10 to 0.11 µs; at 83 requests a second of a gateway that is 0.001% of a
+// core.
 func BenchmarkSoundRequest(b *testing.B) {
-	t := full()
+	t := fullTable()
 	keys := make([]quarantine.Key, 1024)
 	for i := range keys {
 		keys[i] = key(fmt.Sprint("s", i))
@@ -34,22 +34,22 @@
 	}
 }
 
-// What an announcement costs when there is nothing to tell, with a full table: 0.06 to
-// 0.07 us. Looking through the whole table took 222 us.
+// The cost of preparing a message with a full table and nothing to report: 0.06 to 0.07 µs. A
+// scan of the whole table took 222 µs.
 func BenchmarkNothingToTell(b *testing.B) {
-	t := full()
+	t := fullTable()
 	t.PendingReports(at(100_000), 0)
 	for b.Loop() {
 		t.PendingReports(at(100_000), t.Digest(at(100_000)))
 	}
 }
 
-// The memory of a full table of one strike each: 1.2 MiB.
+// The memory of a full table with one strike for each request: 1.2 MiB.
 func BenchmarkFullTable(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	t := full()
+	t := fullTable()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	for b.Loop() {
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,22 +1,23 @@
-// Package quarantine keeps requests that end each replica which runs them from being sent
-// to ever more replicas.
+// Package quarantine stops requests that crash the replicas which run them from being sent to
+// more and more replicas.
 //
-// A request may make a replica crash that begins to run it. Its caller cannot tell that
-// from any other failure and asks again, at any process that sends requests on. Each of
-// these processes keeps a Table. It is told of a Strike when a replica ends under a
-// request, and of requests that are served; Tables of different processes exchange Reports.
-// A request with enough strikes is quarantined: it is not sent for a while.
+// A request may make every replica crash that starts to run it. Its caller cannot distinguish
+// this from any other failure and retries, at any process that forwards requests. Each of these
+// processes keeps a Table. It records a Strike when a replica terminates under a request, and
+// requests that are served; Tables of different processes exchange Reports. A request with
+// enough strikes is quarantined: it is not sent for a while.
 //
-// A replica ends for other reasons too, and then under requests that do no harm. Three
-// things tell them apart:
+// Replicas terminate for other reasons too, and then under harmless requests. Three criteria
+// distinguish these:
 //
-//   - Rounds. A strike's round is one more than the highest that its sender knew of when it
-//     sent the request. However many copies of a request are lost at one moment, as when
-//     many replicas lose power, they say no more than one; another end counts beside it if
-//     the request was sent again, by someone who knew, or if it came 0.3 s later.
-//   - Service. A request that was served is cleared: all of its strikes are forgotten.
-//   - Company. Replicas that end close to one another with nothing in common, or under
-//     another request that has more strikes, say little; see guilty.
+//   - Rounds. The round of a strike is one more than the highest round known to its sender when
+//     it sent the request. However many copies of a request are lost at one moment, as when
+//     many replicas lose power, they count as one strike. A further termination counts as well
+//     if the request was sent again by a process that knew of the earlier one, or if it came
+//     0.3 s later.
+//   - Success. A request that was served is cleared: all of its strikes are dropped.
+//   - Coincidence. Replicas that terminate close to one another with nothing in common, or under
+//     another request that has more strikes, are weak evidence; see isCause.
 //
-// The package decides alone: it sends nothing, logs nothing and starts no goroutine.
+// The package sends nothing, logs nothing and starts no goroutine.
 package quarantine
--- a/quarantine/key.go
+++ b/quarantine/key.go
@@ -6,8 +6,8 @@
 	"encoding/hex"
 )
 
-// Key tells requests apart by what they ask for: callers give each try an id of its own,
-// but one that asks for the same again has the same Key.
+// Key identifies requests by their content. Callers give each attempt an id of its own, but
+// repeated requests with the same content have the same Key.
 type Key [16]byte
 
 // KeyOf returns the Key of a request with these parts, in this order.
@@ -22,5 +22,5 @@
 	return Key(h.Sum(nil)[:len(Key{})])
 }
 
-// String returns a Key for log lines.
+// String returns the Key in hexadecimal, for log lines.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -21,16 +21,16 @@
 
 func key(name string) quarantine.Key { return quarantine.KeyOf([]byte(name)) }
 
-// step is something that a table is told: a replica ended under a request, or under none
-// that is suspect, or a request was served.
+// step is an event that is recorded in a table: a replica terminated under a request or under
+// no suspect one, or a request was served.
 type step struct {
 	ms      int
-	request string // "" is none.
-	replica string // "" is a request that was served.
+	request string // Empty for none.
+	replica string // Empty if the request was served.
 	round   int
 }
 
-func play(t *quarantine.Table, steps []step) {
+func apply(t *quarantine.Table, steps []step) {
 	for _, s := range steps {
 		switch now := at(s.ms); {
 		case s.request == "":
@@ -45,34 +45,34 @@
 
 func TestVerdict(t *testing.T) {
 	cases := []struct {
-		name  string
-		steps []step
-		asked int // When it is asked about request "a", in ms.
-		want  bool
+		name     string
+		steps    []step
+		lookupAt int // Time of the lookup of request "a", in ms.
+		want     bool
 	}{
-		{"nothing is known", nil, 0, false},
+		{"no events", nil, 0, false},
 		{"two rounds", []step{{0, "a", "r1", 1}, {400, "a", "r2", 2}}, 500, false},
 		{"three rounds", []step{{0, "a", "r1", 1}, {400, "a", "r2", 2}, {900, "a", "r3", 3}}, 1000, true},
-		{"three rounds of two tries that did not know of each other", []step{
+		{"two concurrent attempts, each of two rounds", []step{
 			{0, "a", "r1", 1}, {10, "a", "r2", 1}, {400, "a", "r3", 2}, {410, "a", "r4", 2},
 		}, 500, false},
-		{"many copies at one moment", []step{{0, "a", "r1", 1}, {0, "a", "r2", 1}, {1, "a", "r3", 1}, {1, "a", "r4", 1}, {2, "a", "r5", 1}}, 500, false},
+		{"many copies at the same time", []step{{0, "a", "r1", 1}, {0, "a", "r2", 1}, {1, "a", "r3", 1}, {1, "a", "r4", 1}, {2, "a", "r5", 1}}, 500, false},
 		{"served in between", []step{{0, "a", "r1", 1}, {400, "a", "r2", 2}, {600, "a", "", 0}, {900, "a", "r3", 1}}, 1000, false},
-		{"served at last", []step{{0, "a", "r1", 1}, {400, "a", "r2", 2}, {900, "a", "r3", 3}, {950, "a", "", 0}}, 1000, false},
+		{"served in the end", []step{{0, "a", "r1", 1}, {400, "a", "r2", 2}, {900, "a", "r3", 3}, {950, "a", "", 0}}, 1000, false},
 		{"served shortly before", []step{{0, "a", "", 0}, {100, "a", "r1", 1}, {400, "a", "r2", 2}, {900, "a", "r3", 3}}, 1000, false},
 		{"served long before", []step{{0, "a", "", 0}, {9100, "a", "r1", 1}, {9400, "a", "r2", 2}, {9900, "a", "r3", 3}}, 10_000, true},
-		{"another request was there each time, and more often", []step{
+		{"another request with more strikes at the same replicas", []step{
 			{0, "b", "r0", 1}, {300, "a", "r1", 1}, {300, "b", "r1", 2}, {600, "a", "r2", 2}, {600, "b", "r2", 3}, {900, "a", "r3", 3}, {900, "b", "r3", 4},
 		}, 1000, false},
-		{"others were there, each once", []step{
+		{"other requests with one strike each", []step{
 			{0, "a", "r1", 1}, {0, "b", "r1", 1}, {400, "a", "r2", 2}, {400, "c", "r2", 1}, {900, "a", "r3", 3}, {900, "d", "r3", 1},
 		}, 1000, true},
-		{"copies at one replica that were sent in turn", []step{{0, "a", "r1", 1}, {1, "a", "r1", 2}, {2, "a", "r1", 3}}, 10, false},
-		{"one replica that starts again under its name", []step{{0, "a", "r1", 1}, {3000, "a", "r1", 2}, {6000, "a", "r1", 3}}, 6100, true},
-		{"a roll of many replicas", []step{
+		{"successive copies at one replica", []step{{0, "a", "r1", 1}, {1, "a", "r1", 2}, {2, "a", "r1", 3}}, 10, false},
+		{"one replica that restarts under the same name", []step{{0, "a", "r1", 1}, {3000, "a", "r1", 2}, {6000, "a", "r1", 3}}, 6100, true},
+		{"a rolling restart of many replicas", []step{
 			{0, "a", "r1", 1}, {200, "", "r2", 0}, {400, "", "r3", 0}, {600, "a", "r4", 2}, {800, "", "r5", 0}, {900, "", "r6", 0}, {1200, "a", "r7", 3},
 		}, 1300, false},
-		{"a roll, and five rounds", []step{
+		{"a rolling restart, and five rounds", []step{
 			{0, "a", "r1", 1},
 			{200, "", "r2", 0},
 			{400, "", "r3", 0},
@@ -85,10 +85,10 @@
 			{1500, "a", "r10", 4},
 			{1800, "a", "r11", 5},
 		}, 1900, true},
-		{"three ends in a quarter of a second", []step{{0, "a", "r1", 1}, {170, "a", "r2", 2}, {270, "a", "r3", 3}}, 300, false},
-		{"tries that overlap, seconds apart", []step{{0, "a", "r1", 1}, {1700, "a", "r2", 1}, {3000, "a", "r3", 2}, {3000, "a", "r4", 2}}, 3100, true},
-		{"its time is over", []step{{0, "a", "r1", 1}, {400, "a", "r2", 2}, {900, "a", "r3", 3}}, 900 + int(quarantine.Duration/time.Millisecond), false},
-		{"one more strike after its time", []step{
+		{"three terminations within 270 ms", []step{{0, "a", "r1", 1}, {170, "a", "r2", 2}, {270, "a", "r3", 3}}, 300, false},
+		{"overlapping attempts, seconds apart", []step{{0, "a", "r1", 1}, {1700, "a", "r2", 1}, {3000, "a", "r3", 2}, {3000, "a", "r4", 2}}, 3100, true},
+		{"quarantine expired", []step{{0, "a", "r1", 1}, {400, "a", "r2", 2}, {900, "a", "r3", 3}}, 900 + int(quarantine.Duration/time.Millisecond), false},
+		{"one more strike after the quarantine", []step{
 			{0, "a", "r1", 1}, {400, "a", "r2", 2}, {900, "a", "r3", 3}, {901 + int(quarantine.Duration/time.Millisecond), "a", "r4", 4},
 		}, 902 + int(quarantine.Duration/time.Millisecond), true},
 		{"long between strikes", []step{{0, "a", "r1", 1}, {300_000, "a", "r2", 2}, {600_000, "a", "r3", 3}}, 600_001, true},
@@ -96,23 +96,23 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			var tab quarantine.Table
-			play(&tab, tc.steps)
-			v := tab.Lookup(at(tc.asked), key("a"))
-			is.New(t).Equal(v.Quarantined(), tc.want)
+			apply(&tab, tc.steps)
+			st := tab.Lookup(at(tc.lookupAt), key("a"))
+			is.New(t).Equal(st.Quarantined(), tc.want)
 		})
 	}
 }
 
-// tell has one table learn what another one tells it.
-func tell(from, to *quarantine.Table, now time.Time) int {
+// exchange sends the reports of one table to another and returns their number.
+func exchange(from, to *quarantine.Table, now time.Time) int {
 	rs := from.PendingReports(now, to.Digest(now))
 	to.Merge(now, now, rs)
 	return len(rs)
 }
 
-// Whatever tables were told, and in whichever order messages came, were lost or came
-// twice: once all have told each other often enough, they quarantine the same requests and
-// have nothing more to tell.
+// Whatever was recorded in the tables, and whatever the order, loss or duplication of messages:
+// once all have exchanged reports often enough, they quarantine the same requests and have
+// nothing more to report.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tables = 4
@@ -126,40 +126,40 @@
 			case 0:
 				all[n].RecordSuccess(at(now), key(k))
 			case 1, 2, 3:
-				tell(&all[n], &all[rapid.IntRange(0, tables-1).Draw(t, "to")], at(now))
+				exchange(&all[n], &all[rapid.IntRange(0, tables-1).Draw(t, "to")], at(now))
 			default:
-				v := all[n].Lookup(at(now), key(k))
-				play(&all[n], []step{{now, k, fmt.Sprint("r", rapid.IntRange(0, 40).Draw(t, "replica")), v.Round + 1}})
+				st := all[n].Lookup(at(now), key(k))
+				apply(&all[n], []step{{now, k, fmt.Sprint("r", rapid.IntRange(0, 40).Draw(t, "replica")), st.Round + 1}})
 			}
 		}
-		quiet := 0
+		idleRounds := 0
 		for range 200 {
 			now++
-			told := 0
+			sent := 0
 			for i := range all {
 				for j := range all {
 					if i != j {
-						told += tell(&all[i], &all[j], at(now))
+						sent += exchange(&all[i], &all[j], at(now))
 					}
 				}
 			}
-			if told == 0 {
-				quiet++
+			if sent == 0 {
+				idleRounds++
 			}
 		}
-		if quiet == 0 {
-			t.Fatal("they tell one another for ever")
+		if idleRounds == 0 {
+			t.Fatal("reports never cease")
 		}
 		for i := range all {
 			if all[i].Digest(at(now)) != all[0].Digest(at(now)) {
-				t.Fatal("they quarantine different requests")
+				t.Fatal("the tables quarantine different requests")
 			}
 		}
 	})
 }
 
-// Any history in which a request is served at least once in three rounds leaves it alone,
-// whatever becomes of others.
+// A request that is served at least once in three rounds is never quarantined, whatever happens
+// to other requests.
 func TestServedRequestIsNeverQuarantined(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tab quarantine.Table
@@ -175,26 +175,27 @@
 				tab.RecordStrike(now, key("a"), tab.Lookup(now, key("a")).Epoch, quarantine.Strike{Replica: fmt.Sprint("r", i), Round: tab.Lookup(now, key("a")).Round + 1, At: now})
 				rounds++
 			}
-			if v := tab.Lookup(now, key("a")); v.Quarantined() {
+			if st := tab.Lookup(now, key("a")); st.Quarantined() {
 				t.Fatal("quarantined")
 			}
 		}
 	})
 }
 
-// A hall loses power, and all that ran there is suspect, as if one gateway had sent it all:
-// memory and messages stay bounded, and what was quarantined before stays so.
+// A hall loses power, and all requests running there become suspect, as if one gateway had sent
+// them all: memory and messages stay bounded, and a request that was quarantined before stays
+// so.
 func TestBoundsAtTheTargetSize(t *testing.T) {
 	is := is.New(t)
 	var tab quarantine.Table
-	play(&tab, []step{{0, "fatal", "r1", 1}, {400, "fatal", "r2", 2}, {900, "fatal", "r3", 3}})
+	apply(&tab, []step{{0, "fatal", "r1", 1}, {400, "fatal", "r2", 2}, {900, "fatal", "r3", 3}})
 	const lost, each = 500, 16
 	for i := range lost * each {
-		play(&tab, []step{{1000 + i/100, fmt.Sprint("n", i), fmt.Sprint("x", i/each), 1}})
+		apply(&tab, []step{{1000 + i/100, fmt.Sprint("n", i), fmt.Sprint("x", i/each), 1}})
 	}
 	now := at(2000)
-	v := tab.Lookup(now, key("fatal"))
-	is.True(v.Quarantined())
+	st := tab.Lookup(now, key("fatal"))
+	is.True(st.Quarantined())
 	is.True(tab.Len() <= 4096)
 	messages, bytes := 0, 0
 	for ; messages < 1_000_000; messages++ {
@@ -205,14 +206,14 @@
 		is.True(len(rs) <= 8)
 		bytes = max(bytes, size(rs))
 	}
-	is.True(bytes < 1024) // Of strikes in one message, as they are counted here.
-	// After ten seconds none of it is told any more, but for what is quarantined, to who does
-	// not know of that.
+	is.True(bytes < 1024) // Of strikes in one message, by the estimate of size.
+	// After ten seconds only quarantined requests are still reported, to processes that do not
+	// know of them.
 	is.Equal(len(tab.PendingReports(at(12_000), tab.Digest(now))), 0)
 	is.True(slices.ContainsFunc(tab.PendingReports(at(12_000), 0), func(r quarantine.Report) bool { return r.Key == key("fatal") }))
 }
 
-// size is about how many bytes reports take.
+// size estimates the encoded size of reports in bytes.
 func size(rs []quarantine.Report) int {
 	n := 0
 	for _, r := range rs {
@@ -224,37 +225,37 @@
 	return n
 }
 
-// One process finds a request guilty that another one, which knew of no strike, has served
-// meanwhile. As soon as they tell one another both leave it alone.
+// One process quarantines a request that another process, which knew of no strike, has served
+// meanwhile. Once they exchange reports, neither quarantines it.
 func TestServedElsewhere(t *testing.T) {
 	is := is.New(t)
 	var a, b quarantine.Table
-	play(&a, []step{{0, "a", "r1", 1}, {400, "a", "r2", 2}, {900, "a", "r3", 3}})
-	play(&b, []step{{600, "a", "", 0}})
-	v := a.Lookup(at(1000), key("a"))
-	is.True(v.Quarantined())
-	tell(&a, &b, at(1000))
-	tell(&b, &a, at(1001))
-	v = a.Lookup(at(1002), key("a"))
-	is.True(!v.Quarantined())
-	v = b.Lookup(at(1002), key("a"))
-	is.True(!v.Quarantined())
+	apply(&a, []step{{0, "a", "r1", 1}, {400, "a", "r2", 2}, {900, "a", "r3", 3}})
+	apply(&b, []step{{600, "a", "", 0}})
+	st := a.Lookup(at(1000), key("a"))
+	is.True(st.Quarantined())
+	exchange(&a, &b, at(1000))
+	exchange(&b, &a, at(1001))
+	st = a.Lookup(at(1002), key("a"))
+	is.True(!st.Quarantined())
+	st = b.Lookup(at(1002), key("a"))
+	is.True(!st.Quarantined())
 }
 
-// A copy that was sent before the request was cleared and is lost later says nothing of it.
+// The loss of a copy that was sent before the request was cleared is no strike against it.
 func TestStrikeOfBeforeItWasCleared(t *testing.T) {
 	is := is.New(t)
 	var tab quarantine.Table
-	play(&tab, []step{{0, "a", "r1", 1}})
+	apply(&tab, []step{{0, "a", "r1", 1}})
 	sent := tab.Lookup(at(10), key("a"))
-	play(&tab, []step{{500, "a", "", 0}})
+	apply(&tab, []step{{500, "a", "", 0}})
 	const late = 7000
-	v := tab.RecordStrike(at(late), key("a"), sent.Epoch, quarantine.Strike{Replica: "r2", Round: sent.Round + 1, At: at(late)})
-	is.Equal(v.Round, 0)
+	st := tab.RecordStrike(at(late), key("a"), sent.Epoch, quarantine.Strike{Replica: "r2", Round: sent.Round + 1, At: at(late)})
+	is.Equal(st.Round, 0)
 }
 
-// What comes from elsewhere is never believed to last longer than a quarantine does, nor
-// are rounds below the first taken.
+// Reports from other processes cannot extend a quarantine beyond Duration, and rounds below the
+// first are raised to it.
 func TestBadReports(t *testing.T) {
 	is := is.New(t)
 	var tab quarantine.Table
@@ -262,9 +263,9 @@
 		{Key: key("a"), Remaining: time.Hour},
 		{Key: key("b"), Strikes: []quarantine.ReportedStrike{{Replica: "r", Round: -4, Age: -time.Hour}}},
 	})
-	v := tab.Lookup(at(1), key("a"))
-	is.Equal(v.Until, at(0).Add(quarantine.Duration))
-	v = tab.Lookup(at(1), key("b"))
-	is.Equal(v.Round, 1)
-	is.True(!v.Strikes[0].At.After(at(0)))
+	st := tab.Lookup(at(1), key("a"))
+	is.Equal(st.Until, at(0).Add(quarantine.Duration))
+	st = tab.Lookup(at(1), key("b"))
+	is.Equal(st.Round, 1)
+	is.True(!st.Strikes[0].At.After(at(0)))
 }
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -8,60 +8,64 @@
 	"time"
 )
 
-// Report tells another process of a request. Clocks differ, so times travel as ages.
+// Report is the record of a request that is sent to other processes. Clocks differ between
+// processes, so times are sent as ages.
 type Report struct {
 	Key       Key
 	Epoch     uint64
 	Strikes   []ReportedStrike
-	Remaining time.Duration // Of its quarantine; zero if it is in none.
+	Remaining time.Duration // Rest of its quarantine; zero if it is not quarantined.
 }
 
-// ReportedStrike is a Strike as it travels.
+// ReportedStrike is a Strike in a Report.
 type ReportedStrike struct {
 	Replica string
 	Round   int
 	Age     time.Duration
 }
 
-// Bounds of what one message tells: some 100 bytes a report.
+// Bounds of the reports in messages; a report takes about 100 bytes.
 const (
-	mostReports = 8 // In one message,
-	// toldTimes is in how many messages a change is told, and toldFor for how long at most.
-	// Whoever learns of it tells it as often, so that it reaches all even where some messages
-	// are lost. When a hall loses power, thousands of requests are told of that never come
-	// again.
-	toldTimes = 16
-	toldFor   = 10 * time.Second
-	soon      = 2 // Others should hear soon of a request with so many ends, and all have to.
+	maxReports = 8 // Per message.
+	// reportRepeats is in how many messages a change is reported, and reportFor for how long at
+	// most. Every process that receives a change reports it as often, so that it reaches all
+	// even if messages are lost. When a hall loses power, reports are sent of thousands of
+	// requests that are never repeated.
+	reportRepeats = 16
+	reportFor     = 10 * time.Second
+	sharedStrikes = 2 // A request with this many strikes is reported without delay and shared with all processes.
 )
 
-// tell has a change of s told to others. The caller holds t.mu.
-func (t *Table) tell(now time.Time, s *suspect) {
-	t.note(now, s)
-	if s.weighs(now) {
-		t.held[s.key] = s
-		t.hurry()
+// announce has a change of s reported to other processes. The caller holds t.mu.
+func (t *Table) announce(now time.Time, s *suspect) {
+	t.enqueue(now, s)
+	if s.isShared(now) {
+		t.shared[s.key] = s
+		t.signalUrgent()
 	}
 }
 
-// note has s be among what is told next. The caller holds t.mu.
-func (t *Table) note(now time.Time, s *suspect) {
-	s.changed, s.untold = now, toldTimes
-	t.news[s.key] = s
+// enqueue adds s to the next reports. The caller holds t.mu.
+func (t *Table) enqueue(now time.Time, s *suspect) {
+	s.changedAt, s.sendsLeft = now, reportRepeats
+	t.pending[s.key] = s
 }
 
-// hurry has others told soon. The caller holds t.mu.
-func (t *Table) hurry() {
+// signalUrgent has changes reported soon. The caller holds t.mu.
+func (t *Table) signalUrgent() {
 	close(t.urgent)
 	t.urgent = make(chan struct{})
 }
 
-// weighs reports whether all should know of s, also those that start: of a request with one
-// end only, of which there are many, it is enough to be told when it happens. A gateway that
-// started knew of no ends before, and sent a request under which four replicas had ended.
-func (s *suspect) weighs(now time.Time) bool { return len(s.strikes) >= soon || s.until.After(now) }
+// isShared reports whether all processes should know of s, including those that start later.
+// Requests with a single strike are numerous, and it is enough to report those when the strike
+// happens. If nothing were shared, a gateway that has just started would know of no strikes:
+// one sent a request under which four replicas had already terminated.
+func (s *suspect) isShared(now time.Time) bool {
+	return len(s.strikes) >= sharedStrikes || s.quarantinedUntil.After(now)
+}
 
-// UrgentUpdate returns a channel that is closed when others should hear of a change soon.
+// UrgentUpdate returns a channel that is closed when a change should be reported soon.
 func (t *Table) UrgentUpdate() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,8 +73,8 @@
 	return t.urgent
 }
 
-// Digest stands for the requests of which all should know: it is the same at processes that
-// know of the same ones, and 0 where there is none.
+// Digest returns a digest of the requests that all processes should know. It is equal at
+// processes that know the same ones, and 0 if there are none.
 func (t *Table) Digest(now time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,89 +83,91 @@
 
 func (t *Table) digest(now time.Time) uint64 {
 	var d uint64
-	for k, s := range t.held {
+	for k, s := range t.shared {
 		switch {
-		case s.until.After(now):
+		case s.quarantinedUntil.After(now):
 			d ^= binary.LittleEndian.Uint64(k[:])
-		case s.weighs(now):
+		case s.isShared(now):
 			d ^= binary.LittleEndian.Uint64(k[8:])
 		default:
-			delete(t.held, k)
+			delete(t.shared, k)
 		}
 	}
 	return d
 }
 
-// PendingReports returns what to tell a process whose Digest was last heard to be digest: late
-// changes, those with the most ends first, and, if that process does not know of the same
-// requests, some of those of which all should.
+// PendingReports returns the reports for a process whose last received Digest is digest: recent
+// changes, those with the most independent strikes first, and, if that process does not know
+// the same requests, some of those that all should know.
 func (t *Table) PendingReports(now time.Time, digest uint64) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var chosen []*suspect
-	for k, s := range t.news { // In no order, so that all are told in time.
-		if s.untold == 0 || now.Sub(s.changed) >= toldFor {
-			delete(t.news, k)
+	for k, s := range t.pending { // In random order, so that all are reported in time.
+		if s.sendsLeft == 0 || now.Sub(s.changedAt) >= reportFor {
+			delete(t.pending, k)
 			continue
 		}
-		chosen = rank(chosen, s)
+		chosen = insertRanked(chosen, s)
 	}
 	if t.digest(now) != digest {
-		for _, s := range t.held {
+		for _, s := range t.shared {
 			if !slices.Contains(chosen, s) {
-				chosen = rank(chosen, s)
+				chosen = insertRanked(chosen, s)
 			}
 		}
 	}
 	var out []Report
 	for _, s := range chosen {
-		s.untold = max(0, s.untold-1)
+		s.sendsLeft = max(0, s.sendsLeft-1)
 		out = append(out, s.report(now))
 	}
 	return out
 }
 
-// Quarantined returns the requests that are quarantined, for a process that only keeps them
-// for others: of too many the ones that were quarantined last, in the order of their keys.
+// Quarantined returns the quarantined requests, for a process that only keeps them for others.
+// If there are too many, those that were quarantined last are returned, in the order of their
+// keys.
 func (t *Table) Quarantined(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Report
-	for _, s := range t.held {
-		if s.until.After(now) {
+	for _, s := range t.shared {
+		if s.quarantinedUntil.After(now) {
 			out = append(out, s.report(now))
 		}
 	}
 	slices.SortFunc(out, func(a, b Report) int { return cmp.Compare(b.Remaining, a.Remaining) })
-	out = out[:min(mostReports, len(out))]
+	out = out[:min(maxReports, len(out))]
 	slices.SortFunc(out, func(a, b Report) int { return bytes.Compare(a.Key[:], b.Key[:]) })
 	return out
 }
 
-// rank puts a request among the chosen ones, by its ends, and drops one too many.
-func rank(chosen []*suspect, s *suspect) []*suspect {
-	at := len(chosen)
-	for at > 0 && chosen[at-1].count < s.count {
-		at--
+// insertRanked inserts a suspect into the chosen ones, ordered by independent strikes, and
+// drops the last one if there are too many.
+func insertRanked(chosen []*suspect, s *suspect) []*suspect {
+	i := len(chosen)
+	for i > 0 && chosen[i-1].independent < s.independent {
+		i--
 	}
-	if at == mostReports {
+	if i == maxReports {
 		return chosen
 	}
-	chosen = slices.Insert(chosen, at, s)
-	return chosen[:min(mostReports, len(chosen))]
+	chosen = slices.Insert(chosen, i, s)
+	return chosen[:min(maxReports, len(chosen))]
 }
 
 func (s *suspect) report(now time.Time) Report {
-	r := Report{Key: s.key, Epoch: s.epoch, Remaining: max(0, s.until.Sub(now))}
+	r := Report{Key: s.key, Epoch: s.epoch, Remaining: max(0, s.quarantinedUntil.Sub(now))}
 	for _, strike := range s.strikes {
 		r.Strikes = append(r.Strikes, ReportedStrike{Replica: strike.Replica, Round: strike.Round, Age: now.Sub(strike.At)})
 	}
 	return r
 }
 
-// Merge takes what another process tells, by an answer to what was asked at a time or
-// unasked, with the time of now. It returns the requests that are quarantined by it, and
-// with Served those that are no longer.
+// Merge records the reports of another process, received at now in response to a request sent
+// at asked, or unsolicited with asked equal to now. It returns the requests that became
+// quarantined and, with Cleared set, those that no longer are.
 func (t *Table) Merge(asked, now time.Time, rs []Report) map[Key]Status {
 	if len(rs) == 0 {
 		return nil
@@ -177,40 +183,40 @@
 		if s == nil {
 			s = t.insert(r.Key)
 		}
-		was := s.until.After(now)
-		if t.take(asked, now, s, r) {
-			t.judge(now, s)
-			t.tell(now, s)
+		wasQuarantined := s.quarantinedUntil.After(now)
+		if t.mergeReport(asked, now, s, r) {
+			t.evaluate(now, s)
+			t.announce(now, s)
 		}
-		if is := s.until.After(now); was != is {
-			v := s.verdict(now)
-			v.Cleared = was
-			out[r.Key] = v
+		if isQuarantined := s.quarantinedUntil.After(now); wasQuarantined != isQuarantined {
+			st := s.status(now)
+			st.Cleared = wasQuarantined
+			out[r.Key] = st
 		}
 	}
 	return out
 }
 
-// take joins a report to what is known of its request, and reports whether it held news.
-func (t *Table) take(asked, now time.Time, s *suspect, r *Report) bool {
-	if r.Epoch < s.epoch { // The other one must hear that it was cleared.
-		t.note(now, s)
+// mergeReport merges a report into s, and reports whether it contained anything new.
+func (t *Table) mergeReport(asked, now time.Time, s *suspect, r *Report) bool {
+	if r.Epoch < s.epoch { // The sender has yet to learn that the request was cleared.
+		t.enqueue(now, s)
 		return false
 	}
-	news := r.Epoch > s.epoch
-	if news {
-		s.forget(r.Epoch)
+	changed := r.Epoch > s.epoch
+	if changed {
+		s.reset(r.Epoch)
 	}
 	for _, strike := range r.Strikes {
 		at := asked.Add(-max(0, strike.Age))
-		t.ended(strike.Replica, at)
+		t.recordTermination(strike.Replica, at)
 		if s.add(Strike{Replica: strike.Replica, Round: max(1, strike.Round), At: at}) {
-			news = true
+			changed = true
 		}
 	}
-	left := min(r.Remaining, Duration)
-	if until := asked.Add(left); left > 0 && until.After(now) && !s.until.After(now) {
-		s.until, news = until, true
+	remaining := min(r.Remaining, Duration)
+	if until := asked.Add(remaining); remaining > 0 && until.After(now) && !s.quarantinedUntil.After(now) {
+		s.quarantinedUntil, changed = until, true
 	}
-	return news
+	return changed
 }
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -9,37 +9,37 @@
 	"github.com/poststand/poststand/internal/times"
 )
 
-// Bounds of what is kept of one request.
+// Bounds of the strikes kept for one request.
 const (
-	mostRounds  = 6 // The highest,
-	mostOfRound = 4 // and so many strikes of each.
+	maxRounds   = 6 // The highest rounds are kept,
+	maxPerRound = 4 // with this many strikes each.
 )
 
-// Strike is one run of a request during which its replica ended.
+// Strike is one execution of a request during which the replica terminated.
 type Strike struct {
-	Replica string    // That ended.
-	Round   int       // One more than the highest that was known when the request was sent; from 1.
-	At      time.Time // When it ended, by this process's clock.
+	Replica string    // The replica that terminated.
+	Round   int       // One more than the highest round known to the sender when it sent the request; from 1.
+	At      time.Time // Time of the termination, by the clock of this process.
 }
 
-// sameEnd reports whether two strikes are of one end of a replica: one that starts again
-// under its name takes longer for that.
-func (s Strike) sameEnd(o Strike) bool {
-	return s.Replica == o.Replica && s.At.Sub(o.At).Abs() <= near
+// sameTermination reports whether two strikes are of the same termination of a replica. A
+// replica that restarts under the same name takes longer than coincidence to do so.
+func (s Strike) sameTermination(o Strike) bool {
+	return s.Replica == o.Replica && s.At.Sub(o.At).Abs() <= coincidence
 }
 
-// suspect is a request under which a replica ended.
+// suspect is a request under which a replica terminated.
 type suspect struct {
-	key     Key
-	epoch   uint64    // How often it was cleared. What is of an older epoch is void.
-	strikes []Strike  // Those of the highest rounds first.
-	count   int       // Of the strikes that count beside one another: see count.
-	until   time.Time // It is quarantined until then; zero if it never was.
-	changed time.Time // When something was last learnt of it,
-	untold  int       // and in how many messages that is yet to be told.
+	key              Key
+	epoch            uint64    // How often it was cleared. Strikes of an older epoch are void.
+	strikes          []Strike  // Highest rounds first.
+	independent      int       // Number of independent strikes; see countIndependent.
+	quarantinedUntil time.Time // Zero if it was never quarantined.
+	changedAt        time.Time // When new information about it was last recorded.
+	sendsLeft        int       // In how many messages that is still to be reported.
 }
 
-// round returns the highest round of s, 0 without any strike.
+// round returns the highest round of s, or 0 if it has no strikes.
 func (s *suspect) round() int {
 	if len(s.strikes) == 0 {
 		return 0
@@ -47,81 +47,82 @@
 	return s.strikes[0].Round
 }
 
-// forget drops all strikes, and begins an epoch.
-func (s *suspect) forget(epoch uint64) {
+// reset drops all strikes and starts an epoch.
+func (s *suspect) reset(epoch uint64) {
 	s.epoch = epoch
-	s.strikes, s.count, s.until = nil, 0, time.Time{}
+	s.strikes, s.independent, s.quarantinedUntil = nil, 0, time.Time{}
 }
 
-// An end counts beside the one before it after apart, if the request was sent again in
-// between by somebody who knew of that one, and after later in any case: tries that overlap
-// know nothing of each other. Replicas that end sooner after one another may well have one
-// cause, and a request that does no harm is met by several of them.
+// A strike is independent of the one before it after minGapNextRound if the request was sent
+// again in between by a process that knew of the earlier strike, and after minGap in any case,
+// since overlapping attempts do not know of each other. Replicas that terminate closer together
+// may well have one common cause, in which case a harmless request meets several of them.
 const (
-	apart = 150 * time.Millisecond
-	later = 300 * time.Millisecond
+	minGapNextRound = 150 * time.Millisecond
+	minGap          = 300 * time.Millisecond
 )
 
-// count returns how many of some strikes count beside one another: see apart and later.
-func count(strikes []Strike) int {
+// countIndependent returns how many strikes are independent of each other; see minGap.
+func countIndependent(strikes []Strike) int {
 	byTime := slices.Clone(strikes)
 	slices.SortFunc(byTime, func(a, b Strike) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Round, b.Round)) })
 	n := 0
-	var before Strike
+	var prev Strike
 	for _, s := range byTime {
-		since := s.At.Sub(before.At)
-		if n == 0 || since >= later || since >= apart && s.Round > before.Round {
-			n, before = n+1, s
+		since := s.At.Sub(prev.At)
+		if n == 0 || since >= minGap || since >= minGapNextRound && s.Round > prev.Round {
+			n, prev = n+1, s
 		}
 	}
 	return n
 }
 
-// span returns when the first and the last of some strikes were, zero without any.
+// span returns the times of the first and the last strike; zero if there is none.
 func span(strikes []Strike) (first, last time.Time) {
-	for i, k := range strikes {
+	for i, strike := range strikes {
 		if i == 0 {
-			first = k.At
+			first = strike.At
 		}
-		first, last = times.Earlier(first, k.At), times.Later(last, k.At)
+		first, last = times.Earlier(first, strike.At), times.Later(last, strike.At)
 	}
 	return first, last
 }
 
-// add takes a strike, and reports whether it was news. Of one end the lowest round holds:
-// a replica that ends under several copies of a request is one strike. Of too many, those
-// of the lowest rounds go, and of a round those with the highest names: processes that tell
-// one another all that they know come to keep the same ones.
-func (s *suspect) add(k Strike) bool {
-	if i := slices.IndexFunc(s.strikes, k.sameEnd); i >= 0 {
-		if s.strikes[i].Round <= k.Round {
+// add records a strike and reports whether it is new. Of several strikes of one termination,
+// the one with the lowest round is kept: a replica that terminates under several copies of a
+// request is one strike. If there are too many strikes, those of the lowest rounds are dropped,
+// and within a round those with the highest replica names, so that processes that exchange all
+// they know end up with the same ones.
+func (s *suspect) add(strike Strike) bool {
+	if i := slices.IndexFunc(s.strikes, strike.sameTermination); i >= 0 {
+		if s.strikes[i].Round <= strike.Round {
 			return false
 		}
 		s.strikes = slices.Delete(s.strikes, i, i+1)
 	}
-	s.strikes = append(s.strikes, k)
+	s.strikes = append(s.strikes, strike)
 	slices.SortFunc(s.strikes, func(a, b Strike) int {
 		return cmp.Or(cmp.Compare(b.Round, a.Round), strings.Compare(a.Replica, b.Replica))
 	})
 	kept := s.strikes[:0]
-	seen, of := 0, 0 // Rounds, and strikes of the last one.
+	rounds, inRound := 0, 0 // Rounds so far, and strikes in the last of them.
 	for i, o := range s.strikes {
 		if i == 0 || o.Round != s.strikes[i-1].Round {
-			seen, of = seen+1, 0
+			rounds, inRound = rounds+1, 0
 		}
-		if of++; seen <= mostRounds && of <= mostOfRound {
+		if inRound++; rounds <= maxRounds && inRound <= maxPerRound {
 			kept = append(kept, o)
 		}
 	}
-	s.strikes, s.count = kept, count(kept)
-	return slices.ContainsFunc(kept, k.sameEnd)
+	s.strikes, s.independent = kept, countIndependent(kept)
+	return slices.ContainsFunc(kept, strike.sameTermination)
 }
 
-// verdict returns what is known of s.
-func (s *suspect) verdict(now time.Time) Status {
-	v := Status{Epoch: s.epoch, Round: s.round(), Strikes: slices.Clone(s.strikes)}
-	if s.until.After(now) {
-		v.Until = s.until
+// status returns the current Status of s.
+func (s *suspect) status(now time.Time) Status {
+	st := Status{Epoch: s.epoch, Round: s.round(), Strikes: slices.Clone(s.strikes)}
+	if s.quarantinedUntil.After(now) {
+		st.Until = s.quarantinedUntil
 	}
-	return v
+	return st
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,52 +8,52 @@
 
 // Bounds of a Table.
 const (
-	mostSuspects = 4096
-	mostEnds     = 1024
+	maxSuspects     = 4096
+	maxTerminations = 1024
 
-	// Duration is for how long a request is quarantined after its last strike. Then it is
-	// tried again, since the replicas may have been mended; one more strike quarantines it
-	// at once.
+	// Duration is how long a request is quarantined after its last strike. After that it is
+	// tried again, since the replicas may have been fixed; one more strike quarantines it at
+	// once.
 	Duration = 10 * time.Minute
-	// keptFor is how long strikes are remembered.
-	keptFor    = 2 * Duration
+	// retention is how long strikes are kept.
+	retention  = 2 * Duration
 	sweepEvery = 10 * time.Second
 )
 
-// Status is what a Table knows of a request.
+// Status is what a Table has recorded about a request.
 type Status struct {
-	Until   time.Time // The request is quarantined until then; zero if it is not.
-	Epoch   uint64    // How often it was cleared.
-	Round   int       // The highest of its strikes, 0 without any.
-	Strikes []Strike  // The strikes, those of the highest rounds first.
-	Cleared bool      // It has just been cleared, since it was served.
+	Until   time.Time // End of the quarantine; zero if the request is not quarantined.
+	Epoch   uint64    // How often the request was cleared.
+	Round   int       // The highest round of its strikes; 0 if there are none.
+	Strikes []Strike  // Highest rounds first.
+	Cleared bool      // The request has just been cleared because it was served.
 }
 
 // Quarantined reports whether the request must not be sent.
-func (v *Status) Quarantined() bool { return !v.Until.IsZero() }
+func (st *Status) Quarantined() bool { return !st.Until.IsZero() }
 
-// Table remembers requests under which replicas ended. The zero value is empty. Methods
-// are safe for use by many goroutines.
+// Table records requests under which replicas terminated. The zero value is an empty table. Its
+// methods are safe for concurrent use.
 type Table struct {
-	mu       sync.Mutex
-	suspects map[Key]*suspect
-	news     map[Key]*suspect     // Those of which there may be something to tell.
-	held     map[Key]*suspect     // Those that weigh, and some that no longer do.
-	ends     map[string]time.Time // Replicas that have ended, and when.
-	served   recent
-	swept    time.Time
-	urgent   chan struct{} // Closed and replaced when others should hear of a change soon.
+	mu           sync.Mutex
+	suspects     map[Key]*suspect
+	pending      map[Key]*suspect     // May have changes to report.
+	shared       map[Key]*suspect     // All processes should know these; may contain some that no longer qualify.
+	terminations map[string]time.Time // Time of the last termination, by replica.
+	successes    recentSuccesses
+	sweptAt      time.Time
+	urgent       chan struct{} // Closed and replaced when a change should be reported soon.
 }
 
 func (t *Table) init() {
 	if t.suspects == nil {
-		t.suspects, t.news, t.held = map[Key]*suspect{}, map[Key]*suspect{}, map[Key]*suspect{}
-		t.ends = map[string]time.Time{}
+		t.suspects, t.pending, t.shared = map[Key]*suspect{}, map[Key]*suspect{}, map[Key]*suspect{}
+		t.terminations = map[string]time.Time{}
 		t.urgent = make(chan struct{})
 	}
 }
 
-// Lookup returns what is known of a request that is about to be sent.
+// Lookup returns the status of a request that is about to be sent.
 func (t *Table) Lookup(now time.Time, k Key) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -61,110 +61,112 @@
 	if s == nil {
 		return Status{}
 	}
-	t.judge(now, s)
-	return s.verdict(now)
+	t.evaluate(now, s)
+	return s.status(now)
 }
 
-// RecordStrike takes a strike of a request that was sent in an epoch, and returns what is known of
-// the request now. If it was cleared since it was sent, the strike says nothing.
+// RecordStrike records a strike against a request that was sent in an epoch, and returns its
+// new status. If the request was cleared after it was sent, the strike is void.
 func (t *Table) RecordStrike(now time.Time, k Key, epoch uint64, strike Strike) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.init()
 	t.sweep(now)
-	t.ended(strike.Replica, strike.At)
+	t.recordTermination(strike.Replica, strike.At)
 	s := t.suspects[k]
 	if s == nil {
 		s = t.insert(k)
 	}
 	if epoch == s.epoch && s.add(strike) {
-		t.judge(now, s)
-		t.tell(now, s)
+		t.evaluate(now, s)
+		t.announce(now, s)
 	}
-	return s.verdict(now)
+	return s.status(now)
 }
 
-// RecordTermination takes note of a replica that ended at a time, under whatever request, and reports
-// whether that is news.
+// RecordTermination records that a replica terminated at a time, whatever request it was
+// running, and reports whether this is new.
 func (t *Table) RecordTermination(now time.Time, replica string, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.init()
 	t.sweep(now)
-	return t.ended(replica, at)
+	return t.recordTermination(replica, at)
 }
 
-// RecordSuccess takes note of a request that a replica answered with success.
+// RecordSuccess records that a replica answered a request successfully, which clears its
+// strikes. It returns the status before, with Cleared set, or the zero Status if there were
+// none.
 func (t *Table) RecordSuccess(now time.Time, k Key) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.served.add(now, k)
+	t.successes.add(now, k)
 	s := t.suspects[k]
 	if s == nil || len(s.strikes) == 0 {
 		return Status{}
 	}
-	v := s.verdict(now)
-	v.Cleared = true
+	st := s.status(now)
+	st.Cleared = true
 	t.clear(now, s)
-	return v
+	return st
 }
 
-// clear forgets the strikes of a request, here and wherever it is told. The caller holds
-// t.mu.
+// clear drops the strikes of a request, here and at the processes that receive its report. The
+// caller holds t.mu.
 func (t *Table) clear(now time.Time, s *suspect) {
-	if s.weighs(now) {
-		t.hurry() // Others may refuse it.
+	if s.isShared(now) {
+		t.signalUrgent() // Other processes may be refusing the request.
 	}
-	s.forget(s.epoch + 1)
-	t.tell(now, s)
+	s.reset(s.epoch + 1)
+	t.announce(now, s)
 }
 
-// ended notes when a replica last ended, by who saw that first, and reports whether no end of
-// it near that time was known. The caller holds t.mu.
-func (t *Table) ended(replica string, at time.Time) bool {
-	old, ok := t.ends[replica]
-	known := ok && at.Sub(old).Abs() <= near
+// recordTermination records the earliest observation of a replica's last termination, and
+// reports whether no termination of it was known near that time. The caller holds t.mu.
+func (t *Table) recordTermination(replica string, at time.Time) bool {
+	old, ok := t.terminations[replica]
+	known := ok && at.Sub(old).Abs() <= coincidence
 	if known && !at.Before(old) {
 		return false
 	}
-	if len(t.ends) >= mostEnds {
-		t.dropOldestEnd()
+	if len(t.terminations) >= maxTerminations {
+		t.evictOldestTermination()
 	}
-	t.ends[replica] = at
+	t.terminations[replica] = at
 	return !known
 }
 
-func (t *Table) dropOldestEnd() {
+func (t *Table) evictOldestTermination() {
 	var oldest string
-	for r, at := range t.ends {
-		if oldest == "" || at.Before(t.ends[oldest]) {
+	for r, at := range t.terminations {
+		if oldest == "" || at.Before(t.terminations[oldest]) {
 			oldest = r
 		}
 	}
-	delete(t.ends, oldest)
+	delete(t.terminations, oldest)
 }
 
-// insert makes room for a request. The caller holds t.mu.
+// insert adds a suspect, evicting another one if the table is full. The caller holds t.mu.
 func (t *Table) insert(k Key) *suspect {
-	if len(t.suspects) >= mostSuspects {
-		t.dropOne()
+	if len(t.suspects) >= maxSuspects {
+		t.evictSuspect()
 	}
 	s := &suspect{key: k}
 	t.suspects[k] = s
 	return s
 }
 
-// dropOne forgets the least suspicious of some requests, in no order: the one with the
-// fewest ends that count, and of these the oldest. The caller holds t.mu.
-func (t *Table) dropOne() {
-	const looked = 32
+// evictSuspect drops the least suspicious of a random sample: the request with the fewest
+// independent strikes, and among equals the oldest. The caller holds t.mu.
+func (t *Table) evictSuspect() {
+	const maxSampled = 32
 	var least *suspect
 	n := 0
 	for _, s := range t.suspects {
-		if least == nil || s.count < least.count || s.count == least.count && s.changed.Before(least.changed) {
+		if least == nil || s.independent < least.independent || s.independent == least.independent && s.changedAt.Before(least.changedAt) {
 			least = s
 		}
-		if n++; n == looked {
+		if n++; n == maxSampled {
 			break
 		}
 	}
@@ -173,54 +175,54 @@
 
 func (t *Table) drop(s *suspect) {
 	delete(t.suspects, s.key)
-	delete(t.news, s.key)
-	delete(t.held, s.key)
+	delete(t.pending, s.key)
+	delete(t.shared, s.key)
 }
 
-// sweep forgets what is old. The caller holds t.mu.
+// sweep drops expired entries. The caller holds t.mu.
 func (t *Table) sweep(now time.Time) {
-	if now.Sub(t.swept) < sweepEvery {
+	if now.Sub(t.sweptAt) < sweepEvery {
 		return
 	}
-	t.swept = now
+	t.sweptAt = now
 	for _, s := range t.suspects {
-		if now.Sub(s.changed) > keptFor {
+		if now.Sub(s.changedAt) > retention {
 			t.drop(s)
 		}
 	}
-	for r, at := range t.ends {
-		if now.Sub(at) > keptFor {
-			delete(t.ends, r)
+	for r, at := range t.terminations {
+		if now.Sub(at) > retention {
+			delete(t.terminations, r)
 		}
 	}
 }
 
-// Replicas returns the replicas of the strikes, joined by commas.
-func (v *Status) Replicas() string {
-	names := make([]string, len(v.Strikes))
-	for i, s := range v.Strikes {
+// Replicas returns the replicas of the strikes, separated by commas.
+func (st *Status) Replicas() string {
+	names := make([]string, len(st.Strikes))
+	for i, s := range st.Strikes {
 		names[i] = s.Replica
 	}
 	return strings.Join(names, ",")
 }
 
-// SinceLastStrike is how long ago the last strike was; 0 without any.
-func (v *Status) SinceLastStrike(now time.Time) time.Duration {
-	if len(v.Strikes) == 0 {
+// SinceLastStrike returns the time since the last strike; 0 if there is none.
+func (st *Status) SinceLastStrike(now time.Time) time.Duration {
+	if len(st.Strikes) == 0 {
 		return 0
 	}
-	_, last := span(v.Strikes)
+	_, last := span(st.Strikes)
 	return now.Sub(last)
 }
 
-// NumTerminations returns how many ends of replicas are remembered.
+// NumTerminations returns how many terminations of replicas are recorded.
 func (t *Table) NumTerminations() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.ends)
+	return len(t.terminations)
 }
 
-// Len returns how many requests are remembered.
+// Len returns how many requests are recorded.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
