--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -15,23 +15,23 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-// Any order of arrivals, ends and givings-up keeps the bounds, loses no turn and
-// leaves nothing behind.
+// Any order of arrivals, releases and cancellations keeps the bounds, loses no slot and leaves
+// nothing behind.
 func TestQueueKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const slots, room = 3, 4
 		q := &Queue{MaxRunning: func() int { return slots }, MaxWaiting: func() int { return room }}
 		n := rapid.IntRange(1, 40).Draw(rt, "requests")
 		orgs := make([]string, n)
-		patience := make([]int, n)
+		timeouts := make([]int, n)
 		for i := range n {
 			orgs[i] = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "org")
-			patience[i] = rapid.IntRange(1, 30).Draw(rt, "patience")
+			timeouts[i] = rapid.IntRange(1, 30).Draw(rt, "timeout")
 		}
 		synctest.Test(t, func(t *testing.T) {
 			for i := range n {
 				go func() {
-					release, err := q.Acquire(t.Context(), Request{Organisation: orgs[i], Priority: i % 3, Deadline: time.Now().Add(time.Duration(patience[i]) * time.Millisecond)})
+					release, err := q.Acquire(t.Context(), Request{Organisation: orgs[i], Priority: i % 3, Deadline: time.Now().Add(time.Duration(timeouts[i]) * time.Millisecond)})
 					if err != nil {
 						return
 					}
@@ -43,19 +43,19 @@
 				}
 				running, waiting := q.Load()
 				if running > slots || waiting > room+1 {
-					t.Fatalf("%d run and %d wait", running, waiting)
+					t.Fatalf("%d running and %d waiting", running, waiting)
 				}
 			}
 			time.Sleep(time.Second)
 			if running, waiting := q.Load(); running != 0 || waiting != 0 {
-				t.Fatalf("left behind: %d run, %d wait", running, waiting)
+				t.Fatalf("left behind: %d running, %d waiting", running, waiting)
 			}
 		})
 	})
 }
 
-// A burst of one organisation does not starve another, whatever priority it
-// claims; the one over its share is refused for it.
+// A burst of one organisation does not starve another, whatever priority it claims; requests of
+// the organisation that exceeds its share are refused.
 func TestSmallOrganisationIsServedBesideABurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -78,18 +78,18 @@
 			began := time.Now()
 			release, err := q.Acquire(t.Context(), Request{Organisation: "small", Deadline: time.Now().Add(time.Hour)})
 			is.NoErr(err)
-			is.True(time.Since(began) <= 100*time.Millisecond) // The next slot that comes free.
+			is.True(time.Since(began) <= 100*time.Millisecond) // The next slot that becomes free.
 			release()
 		}
 		time.Sleep(time.Minute)
 	})
 }
 
-func TestRateRefusesAtOnceAndSaysWhen(t *testing.T) {
+func TestRateReturnsRetryTime(t *testing.T) {
 	is := is.New(t)
 	r := &Rate{}
 	now := time.Date(2026, 12, 2, 18, 0, 0, 0, time.UTC)
-	p := Split(20, 8, 4) // 5 a second and 2 at once for each of 4 gateways.
+	p := Split(20, 8, 4) // 5 a second and 2 in flight for each of 4 gateways.
 	is.Equal(p, GatewayLimit{PerSecond: 5, InFlight: 2})
 	for range 2 {
 		_, err := r.Acquire(now, p)
@@ -104,29 +104,29 @@
 	}
 	r.Release()
 	at, err := r.Acquire(now, p)
-	is.Equal(fault.CodeOf(err), fault.RateLimited) // The second's five are spent.
+	is.Equal(fault.CodeOf(err), fault.RateLimited) // All five of this second are used.
 	is.Equal(at, now.Add(200*time.Millisecond))
 	_, err = r.Acquire(at, p)
 	is.NoErr(err)
 }
 
-// Retries stay within their share of requests, and a second's worth.
-func TestBudgetBoundsRetries(t *testing.T) {
+// Retries stay within their percentage of requests plus the burst.
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	is := is.New(t)
 	b := &RetryBudget{}
 	now := time.Date(2026, 12, 2, 18, 0, 0, 0, time.UTC)
-	spent := 0
+	granted := 0
 	for range 1000 {
 		b.RecordRequest(now, 10)
 		if b.Spend(now) {
-			spent++
+			granted++
 		}
 	}
-	is.True(spent <= 1000*10/100+budgetBurst)
-	is.True(spent >= 100)
+	is.True(granted <= 1000*10/100+budgetBurst)
+	is.True(granted >= 100)
 }
 
-func TestAcquireGivesUpWithItsCaller(t *testing.T) {
+func TestAcquireStopsWhenContextIsCancelled(t *testing.T) {
 	is := is.New(t)
 	q := &Queue{MaxRunning: func() int { return 1 }, MaxWaiting: func() int { return 1 }}
 	release, err := q.Acquire(t.Context(), Request{Deadline: time.Now().Add(time.Hour)})
--- a/limit/permits.go
+++ b/limit/permits.go
@@ -2,59 +2,59 @@
 
 import "time"
 
-// NumRanks is how many ranks requests have: 0 is the most urgent.
+// NumRanks is the number of ranks that requests have; rank 0 is the most urgent.
 const NumRanks = 10
 
 // Bounds of Permits.
 const (
-	leastFree   = 2.0  // Permits that may be free at least, so that one can be kept for urgent requests.
-	freeSeconds = 0.25 // The same in seconds of the limit, where that is more.
-	kept        = 1.0  // Permits that are kept while a more urgent request has found none of late.
-	keptFor     = 4 * time.Second
-	// leastRate is the rate at which permits are given where the limit is lower, 0 even: by
-	// the answers of those that are sent it is heard when the limit ends.
-	leastRate = 0.1
+	minBurst        = 2.0             // Least bound on accumulated permits, so that one can be reserved for urgent requests.
+	burstSeconds    = 0.25            // Bound on accumulated permits, in seconds of the limit, if that is more.
+	reservedPermits = 1.0             // Permits reserved after a more urgent request was denied one,
+	reserveFor      = 4 * time.Second // for this long.
+	// minRate is the rate at which permits are given if the limit is lower, even if it is 0:
+	// the answers to these requests show when the limit is lifted.
+	minRate = 0.1
 )
 
-// Permits counts what many senders together may send under a limit on requests a second. One
-// of them has it, and all ask that one. A new one has no free permit: what was sent before is
-// not known.
+// Permits issues permits to send requests under a rate limit that all gateways share. One
+// gateway holds the Permits of a limit, and all request permits from it. New Permits have none
+// available, because it is not known what was sent before.
 type Permits struct {
-	free    float64
-	counted time.Time           // When free was worked out; zero before the first request.
-	lacked  [NumRanks]time.Time // When a request of each rank last found no permit.
+	available float64             // Permits that can be given now.
+	updatedAt time.Time           // When available was computed; zero before the first request.
+	deniedAt  [NumRanks]time.Time // When a request of each rank was last denied a permit.
 }
 
-// Take gives a request of a rank a permit, or says when one is free for it. The limit may
-// differ from call to call.
+// Take gives a permit to a request of a rank, or returns when one will be available to it. The
+// limit may differ from call to call.
 func (p *Permits) Take(now time.Time, perSecond float64, rank int) (ok bool, next time.Time) {
-	rate := max(leastRate, perSecond)
+	rate := max(minRate, perSecond)
 	rank = max(0, min(NumRanks-1, rank))
-	most := max(leastFree, freeSeconds*rate)
-	if p.counted.IsZero() {
-		p.counted = now
+	burst := max(minBurst, burstSeconds*rate)
+	if p.updatedAt.IsZero() {
+		p.updatedAt = now
 	}
-	if now.After(p.counted) {
-		p.free += now.Sub(p.counted).Seconds() * rate
-		p.counted = now
+	if now.After(p.updatedAt) {
+		p.available += now.Sub(p.updatedAt).Seconds() * rate
+		p.updatedAt = now
 	}
-	p.free = min(most, p.free)
-	needs := 1.0
-	if p.moreUrgentLacked(now, rank) {
-		needs += kept
+	p.available = min(burst, p.available)
+	needed := 1.0
+	if p.moreUrgentDenied(now, rank) {
+		needed += reservedPermits
 	}
-	if p.free < needs {
-		p.lacked[rank] = now
-		return false, now.Add(time.Duration((needs - p.free) / rate * float64(time.Second)))
+	if p.available < needed {
+		p.deniedAt[rank] = now
+		return false, now.Add(time.Duration((needed - p.available) / rate * float64(time.Second)))
 	}
-	p.free--
+	p.available--
 	return true, time.Time{}
 }
 
-// moreUrgentLacked reports whether a more urgent request has found no permit of late.
-func (p *Permits) moreUrgentLacked(now time.Time, rank int) bool {
-	for _, at := range p.lacked[:rank] {
-		if !at.IsZero() && now.Sub(at) < keptFor {
+// moreUrgentDenied reports whether a more urgent request was recently denied a permit.
+func (p *Permits) moreUrgentDenied(now time.Time, rank int) bool {
+	for _, at := range p.deniedAt[:rank] {
+		if !at.IsZero() && now.Sub(at) < reserveFor {
 			return true
 		}
 	}
--- a/limit/permits_test.go
+++ b/limit/permits_test.go
@@ -10,8 +10,8 @@
 
 var epoch = time.Date(2026, 12, 2, 18, 0, 0, 0, time.UTC)
 
-// However requests of all ranks come, and however the limit changes among them, no span has
-// more permits than the limit gives in it and those that may be free at once.
+// Whatever the order and ranks of requests and the changes of the limit, no time span has more
+// permits than the limit allows in it plus the burst.
 func TestPermitsHoldTheLimitInEverySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 4 * time.Second
@@ -27,10 +27,10 @@
 			if ok {
 				given = append(given, now)
 			} else if !next.After(now) {
-				t.Fatal("none is free, and one is at once")
+				t.Fatal("permit denied although one is available at once")
 			}
 		}
-		most := span.Seconds()*max(leastRate, highest) + max(leastFree, freeSeconds*highest)
+		most := span.Seconds()*max(minRate, highest) + max(minBurst, burstSeconds*highest)
 		for i, from := range given {
 			n := 0
 			for i+n < len(given) && given[i+n].Sub(from) < span {
@@ -43,13 +43,13 @@
 	})
 }
 
-// Who is told when a permit is free for it has one then, if nobody took it.
+// A permit is available at the time that was returned for it, if nobody else took it.
 func TestPermitIsFreeWhenItIsSaidToBe(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.3, 1.3, 20, 1e6} {
 		is := is.New(t)
 		var p Permits
 		ok, next := p.Take(epoch, perSecond, 3)
-		is.True(!ok) // What was sent before is not known.
+		is.True(!ok) // It is not known what was sent before.
 		ok, _ = p.Take(next.Add(-time.Microsecond), perSecond, 3)
 		is.True(!ok)
 		ok, _ = p.Take(next.Add(time.Microsecond), perSecond, 3)
@@ -57,7 +57,8 @@
 	}
 }
 
-// While a more urgent request has found no permit of late, the last free permit is left to it.
+// While a more urgent request was recently denied a permit, the last available permit is
+// reserved for it.
 func TestMostUrgentRequestsHaveThePermits(t *testing.T) {
 	const perSecond = 2.0
 	is := is.New(t)
@@ -73,7 +74,7 @@
 	is.True(got[1] >= 57) // Of 60 in 30 s.
 	is.True(got[7] <= 2)
 	ok := false
-	for i := range 200 { // Alone, the others have all of them.
+	for i := range 200 { // Without urgent requests, the others get all permits.
 		now := epoch.Add(time.Minute + time.Duration(i)*50*time.Millisecond)
 		ok, _ = p.Take(now, perSecond, 7)
 		if ok {
--- a/limit/queue.go
+++ b/limit/queue.go
@@ -9,207 +9,213 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Request is a request that asks to run.
+// Request is a request to be admitted.
 type Request struct {
 	Organisation string
-	Weight       int // Share of the organisation; at least 1.
+	Weight       int // Fair-share weight of the organisation; at least 1.
 	Priority     int // Within the organisation; higher goes first.
 	Deadline     time.Time
 }
 
-// Queue admits requests. Set the exported fields before first use.
+// Queue admits requests. The exported fields must be set before first use.
 type Queue struct {
-	MaxRunning func() int // Requests that may run at once now; at least 1.
-	MaxWaiting func() int // Requests that may wait.
+	MaxRunning func() int // Requests that may run at once at present; at least 1.
+	MaxWaiting func() int // Requests that may wait at present.
 
 	mu      sync.Mutex
 	running int
 	waiting int
-	virtual float64 // Virtual time of fair queueing; never falls.
-	orgs    map[string]*share
-	order   uint64
+	virtual float64 // Virtual time of fair queueing; never decreases.
+	orgs    map[string]*orgQueue
+	lastSeq uint64
 }
 
-// share is one organisation's part of the queue.
-type share struct {
-	weight  float64
-	last    float64 // Virtual finish of its last admitted request.
-	waiters []*waiter
-	running int
-	asked   time.Time // When it last asked.
+// orgQueue is the part of the queue of one organisation.
+type orgQueue struct {
+	weight      float64
+	lastFinish  float64 // Virtual finish time of its last admitted request.
+	waiters     []*waiter
+	running     int
+	lastRequest time.Time // When its last request arrived.
 }
 
 type waiter struct {
-	ticket Request
-	order  uint64
-	ready  chan error // A ring of one; nil admits.
+	request Request
+	seq     uint64
+	ready   chan error // Capacity 1; nil admits the request.
 }
 
-// Acquire waits for a turn. The returned function must be called when the
-// request has ended. A refusal has type fault.QueueFull or fault.PastDeadline.
-func (q *Queue) Acquire(ctx context.Context, t Request) (func(), error) {
-	w, err := q.enter(time.Now(), t)
+// Acquire waits until the request is admitted. The caller must call the returned function when
+// the request has ended. A refusal has the code fault.QueueFull, fault.PastDeadline or
+// fault.Cancelled.
+func (q *Queue) Acquire(ctx context.Context, r Request) (func(), error) {
+	w, err := q.enqueue(time.Now(), r)
 	if err != nil {
 		return nil, err
 	}
-	timer := time.NewTimer(time.Until(t.Deadline))
+	timer := time.NewTimer(time.Until(r.Deadline))
 	defer timer.Stop()
 	select {
 	case err = <-w.ready:
 	case <-timer.C:
-		err = q.leave(w, fault.New(fault.PastDeadline, "in queue"))
+		err = q.withdraw(w, fault.New(fault.PastDeadline, "deadline reached in the queue"))
 	case <-ctx.Done():
-		err = q.leave(w, fault.Wrap(fault.Cancelled, context.Cause(ctx), "in queue"))
+		err = q.withdraw(w, fault.Wrap(fault.Cancelled, context.Cause(ctx), "cancelled in the queue"))
 	}
 	if err != nil {
 		return nil, err
 	}
-	return sync.OnceFunc(func() { q.release(t.Organisation) }), nil
+	return sync.OnceFunc(func() { q.release(r.Organisation) }), nil
 }
 
-func (q *Queue) enter(now time.Time, t Request) (*waiter, error) {
+func (q *Queue) enqueue(now time.Time, r Request) (*waiter, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.orgs == nil {
-		q.orgs = map[string]*share{}
+		q.orgs = map[string]*orgQueue{}
 	}
-	s, ok := q.orgs[t.Organisation]
+	oq, ok := q.orgs[r.Organisation]
 	if !ok {
-		s = &share{}
-		q.orgs[t.Organisation] = s
+		oq = &orgQueue{}
+		q.orgs[r.Organisation] = oq
 	}
-	s.weight, s.asked = float64(max(1, t.Weight)), now
+	oq.weight, oq.lastRequest = float64(max(1, r.Weight)), now
 	q.dropIdle(now)
-	q.order++
-	w := &waiter{ticket: t, order: q.order, ready: make(chan error, 1)}
-	full := q.waiting >= q.MaxWaiting() && !q.mayTake(s)
-	if full && !q.displace(s) {
-		return nil, fault.New(fault.QueueFull, t.Organisation)
+	q.lastSeq++
+	w := &waiter{request: r, seq: q.lastSeq, ready: make(chan error, 1)}
+	full := q.waiting >= q.MaxWaiting() && !q.mayRun(oq)
+	if full && !q.displace(oq) {
+		return nil, fault.New(fault.QueueFull, r.Organisation)
 	}
-	s.waiters = append(s.waiters, w)
+	oq.waiters = append(oq.waiters, w)
 	q.waiting++
 	q.admit()
 	return w, nil
 }
 
-func (q *Queue) limit() int { return max(1, q.MaxRunning()) }
+func (q *Queue) slots() int { return max(1, q.MaxRunning()) }
 
-// displace makes room by refusing the newest, least urgent request of the
-// organisation furthest over its share, if that is further over than s would be.
-func (q *Queue) displace(s *share) bool {
-	var worst *share
+// displace makes room by refusing the newest, least urgent waiting request of the organisation
+// with the largest backlog relative to its weight, if that backlog is larger than that of oq
+// would be.
+func (q *Queue) displace(oq *orgQueue) bool {
+	var worst *orgQueue
 	for _, o := range q.orgs {
-		if len(o.waiters) > 0 && (worst == nil || o.over() > worst.over()) {
+		if len(o.waiters) > 0 && (worst == nil || o.backlog() > worst.backlog()) {
 			worst = o
 		}
 	}
-	if worst == nil || worst == s || worst.over() <= float64(len(s.waiters)+1)/s.weight {
+	if worst == nil || worst == oq || worst.backlog() <= float64(len(oq.waiters)+1)/oq.weight {
 		return false
 	}
 	i := 0
 	for j, w := range worst.waiters {
 		v := worst.waiters[i]
-		if w.ticket.Priority < v.ticket.Priority || w.ticket.Priority == v.ticket.Priority && w.order > v.order {
+		if w.request.Priority < v.request.Priority || w.request.Priority == v.request.Priority && w.seq > v.seq {
 			i = j
 		}
 	}
-	victim := worst.remove(i)
+	displaced := worst.remove(i)
 	q.waiting--
-	victim.ready <- fault.New(fault.QueueFull, "displaced by fair shares")
+	displaced.ready <- fault.New(fault.QueueFull, "displaced by a request of an organisation below its fair share")
 	return true
 }
 
-func (s *share) over() float64 { return float64(len(s.waiters)) / s.weight }
+// backlog returns the number of waiting requests relative to the weight.
+func (oq *orgQueue) backlog() float64 { return float64(len(oq.waiters)) / oq.weight }
 
-func (s *share) remove(i int) *waiter {
-	w := s.waiters[i]
-	s.waiters = append(s.waiters[:i], s.waiters[i+1:]...)
+func (oq *orgQueue) remove(i int) *waiter {
+	w := oq.waiters[i]
+	oq.waiters = append(oq.waiters[:i], oq.waiters[i+1:]...)
 	return w
 }
 
-// reserved is the part of the slots that organisations over their share leave to
-// those that are not, so that a small one hardly waits for a slot to come free.
-const reserved = 0.1
+// reservedShare is the share of the slots that organisations above their fair share leave to
+// the others, so that a small organisation hardly waits for a slot.
+const reservedShare = 0.1
 
-// mayTake reports whether s may have a slot now.
-func (q *Queue) mayTake(s *share) bool {
-	limit := q.limit()
+// mayRun reports whether oq may use a further slot now.
+func (q *Queue) mayRun(oq *orgQueue) bool {
+	slots := q.slots()
 	total := 0.0
 	for _, o := range q.orgs {
 		total += o.weight
 	}
-	if float64(s.running) < float64(limit)*s.weight/total {
-		return q.running < limit
+	if float64(oq.running) < float64(slots)*oq.weight/total {
+		return q.running < slots
 	}
-	keep := 0
+	reserved := 0
 	if len(q.orgs) > 1 {
-		keep = int(math.Ceil(reserved * float64(limit)))
+		reserved = int(math.Ceil(reservedShare * float64(slots)))
 	}
-	return q.running < max(1, limit-keep)
+	return q.running < max(1, slots-reserved)
 }
 
-// admit lets the next requests run while there is room: of the organisation
-// whose next virtual finish is the least, its most urgent and then oldest.
+// admit starts waiting requests while there are free slots, in the order of the virtual finish
+// times of organisations, and within an organisation by priority and then age.
 func (q *Queue) admit() {
 	for q.waiting > 0 {
-		var next *share
-		at := math.Inf(1)
+		var next *orgQueue
+		nextFinish := math.Inf(1)
 		name := ""
-		for n, s := range q.orgs {
-			if len(s.waiters) == 0 || !q.mayTake(s) {
+		for org, oq := range q.orgs {
+			if len(oq.waiters) == 0 || !q.mayRun(oq) {
 				continue
 			}
-			if f := s.finish(q.virtual); f < at || f == at && n < name {
-				next, at, name = s, f, n
+			if f := oq.nextFinish(q.virtual); f < nextFinish || f == nextFinish && org < name {
+				next, nextFinish, name = oq, f, org
 			}
 		}
 		if next == nil {
 			return
 		}
-		q.virtual = max(q.virtual, at-1/next.weight)
-		next.last = at
-		next.remove(next.first()).ready <- nil
+		q.virtual = max(q.virtual, nextFinish-1/next.weight)
+		next.lastFinish = nextFinish
+		next.remove(next.nextWaiter()).ready <- nil
 		q.waiting--
 		q.running++
 		next.running++
 	}
 }
 
-func (s *share) finish(virtual float64) float64 { return max(virtual, s.last) + 1/s.weight }
+func (oq *orgQueue) nextFinish(virtual float64) float64 {
+	return max(virtual, oq.lastFinish) + 1/oq.weight
+}
 
-func (s *share) first() int {
+// nextWaiter returns the index of the most urgent waiter, the oldest among equals.
+func (oq *orgQueue) nextWaiter() int {
 	best := 0
-	for i, w := range s.waiters {
-		b := s.waiters[best]
-		if w.ticket.Priority > b.ticket.Priority || w.ticket.Priority == b.ticket.Priority && w.order < b.order {
+	for i, w := range oq.waiters {
+		b := oq.waiters[best]
+		if w.request.Priority > b.request.Priority || w.request.Priority == b.request.Priority && w.seq < b.seq {
 			best = i
 		}
 	}
 	return best
 }
 
-// dropIdle forgets organisations that have nothing here and have not asked for a
-// while, so that the table is bounded by what is in use.
+// dropIdle removes organisations that have no requests here and have not sent any for a while,
+// so that the table is bounded by the organisations in use.
 func (q *Queue) dropIdle(now time.Time) {
 	const idle = time.Second
-	for n, s := range q.orgs {
-		if len(s.waiters) == 0 && s.running == 0 && now.Sub(s.asked) > idle {
-			delete(q.orgs, n)
+	for org, oq := range q.orgs {
+		if len(oq.waiters) == 0 && oq.running == 0 && now.Sub(oq.lastRequest) > idle {
+			delete(q.orgs, org)
 		}
 	}
 }
 
-// leave takes a waiter out. If it was admitted meanwhile its turn is returned.
-func (q *Queue) leave(w *waiter, why error) error {
+// withdraw removes a waiter. If it was admitted meanwhile, its slot is released.
+func (q *Queue) withdraw(w *waiter, cause error) error {
 	q.mu.Lock()
-	s := q.orgs[w.ticket.Organisation]
-	if s != nil {
-		for i, o := range s.waiters {
+	oq := q.orgs[w.request.Organisation]
+	if oq != nil {
+		for i, o := range oq.waiters {
 			if o == w {
-				s.remove(i)
+				oq.remove(i)
 				q.waiting--
 				q.mu.Unlock()
-				return why
+				return cause
 			}
 		}
 	}
@@ -217,8 +223,8 @@
 	if err := <-w.ready; err != nil {
 		return err
 	}
-	q.release(w.ticket.Organisation)
-	return why
+	q.release(w.request.Organisation)
+	return cause
 }
 
 func (q *Queue) release(organisation string) {
@@ -232,7 +238,7 @@
 	q.admit()
 }
 
-// Load returns what runs and waits now.
+// Load returns the number of running and waiting requests.
 func (q *Queue) Load() (running, waiting int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/limit/rate.go
+++ b/limit/rate.go
@@ -8,48 +8,48 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Rate is one gateway's part of an organisation's limits, which hold over all
-// gateways. The parts are split by the gateways that the view shows live. While
-// views differ, or a part of the fleet is cut off, the sum of the parts is off
-// by at most the ratio of the gateways that exist to those that each one sees.
+// Rate enforces one gateway's part of an organisation's limits, which apply to all gateways
+// together. The limits are split evenly between the live gateways of the view. While views
+// differ, or part of the fleet is unreachable, the sum of the parts differs from the limit by
+// at most the ratio of the gateways that exist to those that each one sees.
 type Rate struct {
 	mu       sync.Mutex
 	tokens   float64
-	filled   time.Time
+	filledAt time.Time
 	inFlight int
 }
 
-// GatewayLimit is the limit that falls to this gateway.
+// GatewayLimit is the part of a limit that one gateway may use.
 type GatewayLimit struct {
-	PerSecond float64 // 0 is no limit.
-	InFlight  int     // 0 is no limit.
+	PerSecond float64 // 0 means no limit.
+	InFlight  int     // 0 means no limit.
 }
 
 // Split returns the part of a limit for one of n gateways.
 func Split(perSecond float64, inFlight, n int) GatewayLimit {
 	n = max(1, n)
-	p := GatewayLimit{PerSecond: perSecond / float64(n)}
+	l := GatewayLimit{PerSecond: perSecond / float64(n)}
 	if inFlight > 0 {
-		p.InFlight = max(1, (inFlight+n-1)/n)
+		l.InFlight = max(1, (inFlight+n-1)/n)
 	}
-	return p
+	return l
 }
 
-// burstOf is how many requests may come at once at a rate.
-func burstOf(perSecond float64) float64 { return max(1, perSecond) }
+// burstSize returns how many requests may come at once at a rate.
+func burstSize(perSecond float64) float64 { return max(1, perSecond) }
 
-// Acquire admits one request or refuses it with fault.RateLimited and the time to
-// come back. Give must follow an admission.
-func (r *Rate) Acquire(now time.Time, p GatewayLimit) (time.Time, error) {
+// Acquire admits one request, or refuses it with fault.RateLimited and the time at which to
+// retry. An admitted request must be ended with Release.
+func (r *Rate) Acquire(now time.Time, l GatewayLimit) (time.Time, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p.InFlight > 0 && r.inFlight >= p.InFlight {
+	if l.InFlight > 0 && r.inFlight >= l.InFlight {
 		return now.Add(time.Second), fault.New(fault.RateLimited, "requests in flight")
 	}
-	if p.PerSecond > 0 {
-		r.fill(now, p)
+	if l.PerSecond > 0 {
+		r.refill(now, l)
 		if r.tokens < 1 {
-			wait := (1 - r.tokens) / p.PerSecond
+			wait := (1 - r.tokens) / l.PerSecond
 			return now.Add(time.Duration(wait * float64(time.Second))), fault.New(fault.RateLimited, "requests a second")
 		}
 		r.tokens--
@@ -58,56 +58,56 @@
 	return time.Time{}, nil
 }
 
-func (r *Rate) fill(now time.Time, p GatewayLimit) {
-	if r.filled.IsZero() {
-		r.tokens = burstOf(p.PerSecond)
-	} else if now.After(r.filled) {
-		r.tokens = min(burstOf(p.PerSecond), r.tokens+now.Sub(r.filled).Seconds()*p.PerSecond)
+func (r *Rate) refill(now time.Time, l GatewayLimit) {
+	if r.filledAt.IsZero() {
+		r.tokens = burstSize(l.PerSecond)
+	} else if now.After(r.filledAt) {
+		r.tokens = min(burstSize(l.PerSecond), r.tokens+now.Sub(r.filledAt).Seconds()*l.PerSecond)
 	}
-	if now.After(r.filled) {
-		r.filled = now
+	if now.After(r.filledAt) {
+		r.filledAt = now
 	}
 }
 
-// Release ends a request that Take admitted.
+// Release ends a request that Acquire admitted.
 func (r *Rate) Release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight--
 }
 
-// RetryBudget keeps retries to a share of requests, and to a few a second where there
-// are few requests. The zero value is full.
+// RetryBudget limits retries to a percentage of requests, plus a few a second for when there
+// are few requests. The zero value is a full budget.
 type RetryBudget struct {
-	mu   sync.Mutex
-	debt float64 // Retries spent and not yet earned back; at least 0.
-	at   time.Time
+	mu        sync.Mutex
+	debt      float64 // Retries spent and not yet regained; at least 0.
+	updatedAt time.Time
 }
 
 const (
-	budgetBurst     = 10  // Retries that may come at once after quiet times.
-	budgetPerSecond = 1.0 // Retries that are earned by time alone.
+	budgetBurst     = 10  // Retries that may come at once after an idle period.
+	budgetPerSecond = 1.0 // Retries regained per second without any request.
 )
 
-// earn forgives n retries and what time has earned. The caller holds b.mu.
+// earn regains n retries plus those for the time since the last call. The caller holds b.mu.
 func (b *RetryBudget) earn(now time.Time, n float64) {
-	if now.After(b.at) {
-		if !b.at.IsZero() {
-			n += now.Sub(b.at).Seconds() * budgetPerSecond
+	if now.After(b.updatedAt) {
+		if !b.updatedAt.IsZero() {
+			n += now.Sub(b.updatedAt).Seconds() * budgetPerSecond
 		}
-		b.at = now
+		b.updatedAt = now
 	}
 	b.debt = max(0, b.debt-n)
 }
 
-// RecordRequest earns a request's share of a retry.
+// RecordRequest adds a request's share of a retry to the budget.
 func (b *RetryBudget) RecordRequest(now time.Time, percent int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.earn(now, float64(percent)/100)
 }
 
-// Spend takes one retry, if there is one.
+// Spend takes one retry from the budget, and reports whether there was one.
 func (b *RetryBudget) Spend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -119,8 +119,9 @@
 	return true
 }
 
-// RetryTime spreads the time at which refused callers return: evenly over one
-// to two times the wait that the queue suggests, at least a second.
+// RetryTime returns the time at which a refused caller should retry: randomly between one and
+// two times the wait that the queue suggests, which counts as at least a second, so that
+// retries are spread.
 func RetryTime(now time.Time, wait time.Duration) time.Time {
 	wait = max(wait, time.Second)
 	return now.Add(wait + rand.N(wait))
--- a/limit/window.go
+++ b/limit/window.go
@@ -5,31 +5,30 @@
 	"time"
 )
 
-// RetryWindow bounds the further sends of requests in every span of a length: to a
-// share of the requests and a number besides. It is the part of one gateway in a
-// bound over all of them.
+// RetryWindow limits retries, in every time span of a given length, to a ratio of the requests
+// plus a constant slack. It is one gateway's part of a limit over all of them.
 type RetryWindow struct {
 	Length time.Duration
-	Ratio  float64 // Further sends for each request.
+	Ratio  float64 // Retries for each request.
 
-	mu       sync.Mutex
-	began    time.Time // Steps are counted from it, so that the time of day may jump.
-	requests ring
-	extra    ring
+	mu        sync.Mutex
+	startedAt time.Time // Steps are counted from here, so that changes of the wall clock have no effect.
+	requests  ring
+	retries   ring
 }
 
-// parts is into how many steps a window is cut. A step counts whole while any of
-// it lies in the window, so the bound holds for every span.
-const parts = 20
+// windowSteps is the number of steps that a window is divided into. A step counts in full while
+// any part of it is within the window, so the limit holds for every span.
+const windowSteps = 20
 
 type ring struct {
-	counts [parts + 1]int
-	step   int64 // Of the newest count.
+	counts [windowSteps + 1]int
+	step   int64 // Step of the newest count.
 	sum    int
 }
 
-func (r *ring) move(step int64) {
-	if step-r.step > parts {
+func (r *ring) advance(step int64) {
+	if step-r.step > windowSteps {
 		*r = ring{step: step}
 		return
 	}
@@ -42,16 +41,16 @@
 }
 
 func (r *ring) add(step int64, n int) {
-	r.move(step)
+	r.advance(step)
 	r.counts[r.step%int64(len(r.counts))] += n
 	r.sum += n
 }
 
 func (w *RetryWindow) step(now time.Time) int64 {
-	if w.began.IsZero() {
-		w.began = now
+	if w.startedAt.IsZero() {
+		w.startedAt = now
 	}
-	return int64(now.Sub(w.began)) / max(1, int64(w.Length/parts))
+	return int64(now.Sub(w.startedAt)) / max(1, int64(w.Length/windowSteps))
 }
 
 // RecordRequest counts a request.
@@ -61,22 +60,22 @@
 	w.requests.add(w.step(now), 1)
 }
 
-// Spend takes one further send if the bound allows it, with slack sends besides
-// the share of requests.
+// Spend counts one retry if the limit allows it, and reports whether it does. The limit is
+// Ratio times the requests in the window, plus slack.
 func (w *RetryWindow) Spend(now time.Time, slack float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	step := w.step(now)
-	w.requests.move(step)
-	w.extra.move(step)
-	if float64(w.extra.sum+1) > w.Ratio*float64(w.requests.sum)+slack {
+	w.requests.advance(step)
+	w.retries.advance(step)
+	if float64(w.retries.sum+1) > w.Ratio*float64(w.requests.sum)+slack {
 		return false
 	}
-	w.extra.add(step, 1)
+	w.retries.add(step, 1)
 	return true
 }
 
-// SetRatio changes the share from now on.
+// SetRatio changes Ratio.
 func (w *RetryWindow) SetRatio(ratio float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/limit/window_test.go
+++ b/limit/window_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// In no span of the window's length are there more further sends than the bound
-// allows for the requests of twice that span, however both are mixed in time.
+// No span of the window's length has more retries than the limit allows for the requests of
+// twice that span, however both are distributed in time.
 func TestWindowHoldsInEverySpan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length, slack = 10 * time.Second, 5.0
@@ -34,7 +34,7 @@
 				return n
 			}
 			if n := in(sends, length); float64(n) > 0.2*float64(in(requests, 2*length))+slack {
-				t.Fatalf("%d further sends in a span", n)
+				t.Fatalf("%d retries in a span", n)
 			}
 		}
 	})
