--- a/limit/shared_test.go
+++ b/limit/shared_test.go
@@ -37,7 +37,7 @@
 }
 
 // centralLimiter has one gateway enforce the limit. The others request permits from it unless
-// it has just told them that none is available. A round trip takes a while; permits are given
+// it has just answered that none is available. A round trip takes a while; permits are given
 // when the request for one arrives.
 func centralLimiter(perSecond float64, n int) strategy {
 	const roundTrip = 5 * time.Millisecond
--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -20,9 +20,9 @@
 //
 // A request that was served here since its first strike, or shortly before it, is cleared
 // instead, even if another process quarantined it. When many callers send the same request,
-// some of them are served all the time, but a process whose attempt fails does not learn of
-// that at once: without this rule, one such request was quarantined everywhere within 60
-// minutes of random faults.
+// some of them are served all the time, but a process whose attempt fails does not receive a
+// report of that at once: without this rule, one such request was quarantined everywhere within
+// 60 minutes of random faults.
 func (t *Table) evaluate(now time.Time, s *suspect) {
 	if len(s.strikes) == 0 {
 		return
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -207,8 +207,8 @@
 		bytes = max(bytes, size(rs))
 	}
 	is.True(bytes < 1024) // Of strikes in one message, by the estimate of size.
-	// After ten seconds only quarantined requests are still reported, to processes that do not
-	// know of them.
+	// After ten seconds only shared requests are still reported, to processes whose digest
+	// differs.
 	is.Equal(len(tab.PendingReports(at(12_000), tab.Digest(now))), 0)
 	is.True(slices.ContainsFunc(tab.PendingReports(at(12_000), 0), func(r quarantine.Report) bool { return r.Key == key("fatal") }))
 }
@@ -225,8 +225,8 @@
 	return n
 }
 
-// One process quarantines a request that another process, which knew of no strike, has served
-// meanwhile. Once they exchange reports, neither quarantines it.
+// One process quarantines a request that another process, which has no record of a strike, has
+// served meanwhile. Once they exchange reports, neither quarantines it.
 func TestServedElsewhere(t *testing.T) {
 	is := is.New(t)
 	var a, b quarantine.Table
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -57,10 +57,10 @@
 	t.urgent = make(chan struct{})
 }
 
-// isShared reports whether all processes should know of s, including those that start later.
+// isShared reports whether s is shared with all processes, including those that start later.
 // Requests with a single strike are numerous, and it is enough to report those when the strike
-// happens. If nothing were shared, a gateway that has just started would know of no strikes:
-// one sent a request under which four replicas had already terminated.
+// happens. If nothing were shared, a gateway that has just started would have no record of
+// strikes: one sent a request under which four replicas had already terminated.
 func (s *suspect) isShared(now time.Time) bool {
 	return len(s.strikes) >= sharedStrikes || s.quarantinedUntil.After(now)
 }
@@ -73,8 +73,8 @@
 	return t.urgent
 }
 
-// Digest returns a digest of the requests that all processes should know. It is equal at
-// processes that know the same ones, and 0 if there are none.
+// Digest returns a digest of the shared requests. It is equal at processes that have the same
+// ones, and 0 if there are none.
 func (t *Table) Digest(now time.Time) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -97,8 +97,8 @@
 }
 
 // PendingReports returns the reports for a process whose last received Digest is digest: recent
-// changes, those with the most independent strikes first, and, if that process does not know
-// the same requests, some of those that all should know.
+// changes, those with the most independent strikes first, and, if its digest differs from the
+// one of t, some of the shared requests.
 func (t *Table) PendingReports(now time.Time, digest uint64) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -199,7 +199,7 @@
 
 // mergeReport merges a report into s, and reports whether it contained anything new.
 func (t *Table) mergeReport(asked, now time.Time, s *suspect, r *Report) bool {
-	if r.Epoch < s.epoch { // The sender has yet to learn that the request was cleared.
+	if r.Epoch < s.epoch { // The sender has not received the report that the request was cleared.
 		t.enqueue(now, s)
 		return false
 	}
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -54,9 +54,10 @@
 }
 
 // A strike is independent of the one before it after minGapNextRound if the request was sent
-// again in between by a process that knew of the earlier strike, and after minGap in any case,
-// since overlapping attempts do not know of each other. Replicas that terminate closer together
-// may well have one common cause, in which case a harmless request meets several of them.
+// again in between by a process that had a record of the earlier strike, and after minGap in
+// any case, since overlapping attempts are sent without a record of each other. Replicas that
+// terminate closer together may well have one common cause, in which case a harmless request
+// meets several of them.
 const (
 	minGapNextRound = 150 * time.Millisecond
 	minGap          = 300 * time.Millisecond
@@ -92,7 +93,7 @@
 // the one with the lowest round is kept: a replica that terminates under several copies of a
 // request is one strike. If there are too many strikes, those of the lowest rounds are dropped,
 // and within a round those with the highest replica names, so that processes that exchange all
-// they know end up with the same ones.
+// their records end up with the same strikes.
 func (s *suspect) add(strike Strike) bool {
 	if i := slices.IndexFunc(s.strikes, strike.sameTermination); i >= 0 {
 		if s.strikes[i].Round <= strike.Round {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -38,7 +38,7 @@
 	mu           sync.Mutex
 	suspects     map[Key]*suspect
 	pending      map[Key]*suspect     // May have changes to report.
-	shared       map[Key]*suspect     // All processes should know these; may contain some that no longer qualify.
+	shared       map[Key]*suspect     // To be shared with all processes; may contain some that no longer qualify.
 	terminations map[string]time.Time // Time of the last termination, by replica.
 	successes    recentSuccesses
 	sweptAt      time.Time
--- a/route/limit.go
+++ b/route/limit.go
@@ -50,7 +50,7 @@
 	return l
 }
 
-// permitState is what a gateway knows of the permits for a replica that has a rate limit.
+// permitState is a gateway's record of the permits for a replica that has a rate limit.
 type permitState struct {
 	// deniedUntil is, for each rank of requests, the time until which no permit is to be
 	// requested.
--- a/route/router.go
+++ b/route/router.go
@@ -34,7 +34,7 @@
 // organisations are not enforced (docs/design/load.md).
 const MaxInFlightPerSlot = 1.0
 
-// Upstream is what a gateway knows of one box.
+// Upstream is the state that a gateway keeps for one box.
 type Upstream struct {
 	Box        fleet.Box
 	Report     dispatch.Report
