--- a/internal/peers/assign.go
+++ b/internal/peers/assign.go
@@ -9,11 +9,11 @@
 	"github.com/poststand/poststand/quarantine"
 )
 
-// firstVersion is what replicas may hold before any version was named.
-const firstVersion = 1
+// initialVersion is the version that replicas may hold before any target version is set.
+const initialVersion = 1
 
-// Assign works out what concerns the replicas of a service, or returns nil where
-// the service has no weights or nothing is known yet. It knows no gateways. It is pure.
+// Assign returns the assignment for the replicas of a service, without Gateways. It returns
+// nil if the service has no weights or no configuration is known yet. It is a pure function.
 func Assign(c *catalog.Catalog, service string, now time.Time) *Assignment {
 	if c.Config == nil {
 		return nil
@@ -26,7 +26,7 @@
 		At: c.Position, Model: s.Model, Origin: s.Origin, OriginRate: s.OriginRate,
 		VersionBytes: s.Engine.Chunks * s.Engine.ChunkBytes,
 	}
-	newest := uint64(firstVersion)
+	newest := uint64(initialVersion)
 	for _, u := range c.UpstreamsOf(service) {
 		newest = max(newest, u.Version)
 		a.Replicas = append(a.Replicas, Replica{Addr: u.Addr, Hall: u.Hall, Version: u.Version, Leaving: u.Leaving})
@@ -35,15 +35,15 @@
 	a.Version = newest
 	if w, ok := c.Targets[s.Model]; ok && w.Version >= newest {
 		a.Version = w.Version
-		for _, s := range w.Changes {
-			a.Steps = append(a.Steps, Step{Version: s.Version, Age: now.Sub(s.SetAt), Named: s.SetAt})
+		for _, step := range w.Changes {
+			a.Steps = append(a.Steps, Step{Version: step.Version, Age: now.Sub(step.SetAt), Named: step.SetAt})
 		}
 	}
 	return a
 }
 
-// SameForAgent reports whether two assignments say the same to an agent: how old they
-// are, and by which revision, is no difference.
+// SameForAgent reports whether an agent need not be sent b after a: the position and the ages
+// of steps are not compared.
 func (a *Assignment) SameForAgent(b *Assignment) bool {
 	return a.Model == b.Model && a.Version == b.Version && a.Origin == b.Origin && a.OriginRate == b.OriginRate &&
 		a.VersionBytes == b.VersionBytes && a.ReportTargets == b.ReportTargets && slices.EqualFunc(a.Steps, b.Steps, sameStep) && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Gateways, b.Gateways) &&
@@ -52,14 +52,15 @@
 
 func sameKey(a, b quarantine.Report) bool { return a.Key == b.Key }
 
-// sameStep reports whether two namings are the same to an agent: it need not be told of a
-// time that is hardly nearer.
+// sameStep reports whether two steps are equal to an agent. A time that differs by less than
+// the tolerance is not worth another message.
 func sameStep(a, b Step) bool {
-	const near = 50 * time.Millisecond
-	return a.Version == b.Version && a.Named.Sub(b.Named).Abs() < near
+	const tolerance = 50 * time.Millisecond
+	return a.Version == b.Version && a.Named.Sub(b.Named).Abs() < tolerance
 }
 
-// UrgentChange reports whether b differs from a in more than who else there is.
+// UrgentChange reports whether b differs from a in more than the lists of replicas and
+// gateways, or has no gateways.
 func (a *Assignment) UrgentChange(b *Assignment) bool {
 	return a.Model != b.Model || a.Version != b.Version || a.Origin != b.Origin || len(b.Gateways) == 0
 }
--- a/internal/peers/told_test.go
+++ b/internal/peers/assign_test.go
@@ -10,9 +10,9 @@
 	"github.com/poststand/poststand/config"
 )
 
-// A gateway that is told of a naming takes it to be as old as may be, tells its agents at
-// once, and learns a moment later when it was made. Agents are to be told that too: they
-// would bring their replicas to the version in what is left of a time that is too short.
+// A gateway that is told of a new target version first assumes the greatest age for the
+// change, and a moment later learns its actual age. The corrected time must reach the agents:
+// with the first one, they would load the version in too short a time.
 func TestAssignmentOfAnotherTimeIsNotTheSame(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -22,7 +22,7 @@
 			Targets: map[string]catalog.Target{"m": catalog.Target{}.With(catalog.TargetChange{Version: 2, SetAt: now.Add(-ago)})},
 		}, "llm", now)
 	}
-	first, mended := assign(5500*time.Millisecond), assign(200*time.Millisecond)
-	is.Equal(first.Steps[0].Age-mended.Steps[0].Age, 5300*time.Millisecond)
-	is.True(!mended.SameForAgent(first))
+	first, corrected := assign(5500*time.Millisecond), assign(200*time.Millisecond)
+	is.Equal(first.Steps[0].Age-corrected.Steps[0].Age, 5300*time.Millisecond)
+	is.True(!corrected.SameForAgent(first))
 }
--- a/internal/peers/speaks.go
+++ b/internal/peers/capabilities.go
@@ -9,52 +9,53 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Capabilities tells another process what the sender understands beside what its protocol number
-// says. It is answered by the other's; builds that do not know it refuse it.
+// Capabilities lists what the sender supports beyond its protocol version. It is answered by
+// the receiver's own; builds that do not know the message refuse it.
 type Capabilities struct {
-	Eras bool // Positions that name an era. Where it is false, only their revisions are told.
+	Eras bool // Positions with an era. If false, positions are sent as revisions only.
 }
 
-// mostSpoken bounds the processes of which it is remembered what they understand.
-const mostSpoken = 8192
+// maxCapabilities bounds the processes whose capabilities are remembered.
+const maxCapabilities = 8192
 
-// spoken is what other processes understand, by their incarnations. The zero value is ready for
-// use.
-type spoken struct {
+// capabilityCache holds the capabilities of other processes by their incarnations. The zero
+// value is ready for use.
+type capabilityCache struct {
 	mu   sync.Mutex
 	eras map[uint64]bool
 }
 
-func (s *spoken) learn(c *wire.Conn, m Capabilities) {
+func (s *capabilityCache) store(c *wire.Conn, m Capabilities) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.eras == nil || len(s.eras) >= mostSpoken {
+	if s.eras == nil || len(s.eras) >= maxCapabilities {
 		s.eras = map[uint64]bool{}
 	}
 	s.eras[c.Remote().Incarnation] = m.Eras
 }
 
-func (s *spoken) knows(c *wire.Conn) (eras, known bool) {
+func (s *capabilityCache) load(c *wire.Conn) (eras, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	eras, known = s.eras[c.Remote().Incarnation]
 	return eras, known
 }
 
-// ask returns whether the other end understands eras, and asks it where that is not known.
-func (s *spoken) ask(ctx context.Context, c *wire.Conn) bool {
-	if eras, known := s.knows(c); known {
+// query reports whether the peer supports eras, and requests its capabilities if they are not
+// known.
+func (s *capabilityCache) query(ctx context.Context, c *wire.Conn) bool {
+	if eras, known := s.load(c); known {
 		return eras
 	}
 	m, err := ExchangeCapabilities(ctx, c)
 	if err == nil || fault.Is(err, fault.Unsupported) {
-		s.learn(c, m)
+		s.store(c, m)
 	}
 	return m.Eras
 }
 
-// ExchangeCapabilities tells the other end of a connection what this build understands, and returns what
-// the other one does.
+// ExchangeCapabilities sends this build's capabilities over a connection and returns those of
+// the peer.
 func ExchangeCapabilities(ctx context.Context, c *wire.Conn) (Capabilities, error) {
 	m, err := c.Call(ctx, &Capabilities{Eras: true})
 	if err != nil {
@@ -66,21 +67,21 @@
 	return Capabilities{}, fault.New(fault.Garbage, "introduction")
 }
 
-// PositionFor returns a position as the other end of a connection understands it.
+// PositionFor returns a position in the form that the peer of a connection supports.
 func (g *Gossip) PositionFor(c *wire.Conn, at mirror.Position) mirror.Position {
-	if eras, _ := g.spoken.knows(c); eras {
+	if eras, _ := g.capabilities.load(c); eras {
 		return at
 	}
 	return withoutEra(at)
 }
 
-func (g *Gossip) serveSpeaks(ctx context.Context, s *wire.Stream, m *Capabilities) {
-	g.spoken.learn(s.Conn(), *m)
+func (g *Gossip) serveCapabilities(ctx context.Context, s *wire.Stream, m *Capabilities) {
+	g.capabilities.store(s.Conn(), *m)
 	_ = s.SendLast(ctx, &Capabilities{Eras: true})
 }
 
-// withoutEra is what is told of a position to a build that knows no eras: it watches the
-// platform from the number that it is told.
+// withoutEra returns the position to send to a build that does not support eras: it uses that
+// number as a revision to watch the platform from.
 func withoutEra(at mirror.Position) mirror.Position { return mirror.NewPosition(0, at.Revision()) }
 
 func (a *Announcement) withoutEra() {
@@ -90,7 +91,7 @@
 	}
 }
 
-// deltaWithoutEra is withoutEra for all positions of a delta.
+// deltaWithoutEra applies withoutEra to all positions of a delta.
 func deltaWithoutEra(d mirror.Delta) mirror.Delta {
 	d.Base, d.At = withoutEra(d.Base), withoutEra(d.At)
 	d.Records = recordsWithoutEra(d.Records)
--- a/internal/peers/collect.go
+++ b/internal/peers/collect.go
@@ -4,56 +4,57 @@
 	"github.com/poststand/poststand/rendezvous"
 )
 
-// Where there are few gateways an agent tells all of them how its replica stands; with
-// more, those of its hall and some others. With many that would be a mesh of all agents
-// and all gateways: an agent then tells only two of its hall, its collectors, which pass
-// it on to the others. What they pass on is older, which costs worth as long as the mesh
-// can be borne. Each agent and each gateway works out by itself who is told.
+// With few gateways, each agent reports the status of its replica to all of them; with more,
+// to those of its hall and some others. With many, that would be a full mesh of agents and
+// gateways, so an agent reports to two gateways of its hall only, its collectors, which
+// forward the status to the others. A forwarded status is older and predicts the load less
+// well, so the mesh is used as long as its cost can be borne. Each agent and each gateway
+// computes the targets by itself.
 const (
-	tellAll        = 12  // With so many gateways all are told.
-	tellHall       = 48  // With so many, those of the hall are
-	tellFar        = 6   // and so many others.
-	collectors     = 2   // Of an agent: if one goes, nothing is missed.
-	agentsEach     = 128 // So many agents of a hall have the same collectors.
-	knownHere      = 8   // Gateways of its hall that an agent is told of,
-	knownElsewhere = 4   // and of other halls, for when none of its own answers.
+	meshLimit          = 12  // Up to this many gateways, an agent reports to all of them.
+	hallMeshLimit      = 48  // Up to this many gateways, an agent reports to those of its hall and remoteTargets others.
+	remoteTargets      = 6   // Gateways of other halls that an agent reports to.
+	collectorsPerAgent = 2   // Two, so that no status is missed if one collector fails.
+	agentsPerGroup     = 128 // Agents of a hall that may share the same collectors.
+	localCandidates    = 8   // Gateways of its own hall that an agent is given.
+	remoteCandidates   = 4   // Gateways of other halls that it is given, in case none of its own hall answers.
 )
 
-// GatewaysFor returns the gateways that an agent is to know, those first that it should
-// try first, and how many of them it tells how its replica stands: zero is all. agents
-// is how many agents its hall has.
-func GatewaysFor(agent, hall string, agents int, gateways []Member) (known []Member, tell int) {
-	if len(gateways) <= tellAll {
+// GatewaysFor returns the gateways that an agent is given, in the order in which it should try
+// them, and how many of them it reports to; zero is all of them. agents is the number of
+// agents in its hall.
+func GatewaysFor(agent, hall string, agents int, gateways []Member) (candidates []Member, targets int) {
+	if len(gateways) <= meshLimit {
 		return gateways, 0
 	}
-	here := CollectorOrder(hall, gateways)
-	there := ranked("collect/far/"+agent, elsewhere(hall, gateways))
-	if len(gateways) <= tellHall {
-		return append(here, there[:min(tellFar, len(there))]...), 0
+	local := CollectorOrder(hall, gateways)
+	remote := rankMembers("collect/far/"+agent, inOtherHalls(hall, gateways))
+	if len(gateways) <= hallMeshLimit {
+		return append(local, remote[:min(remoteTargets, len(remote))]...), 0
 	}
-	if groups := (agents + agentsEach - 1) / agentsEach; groups > 1 && len(here) > 0 {
-		first := collectors * int(rendezvous.Score("collect/group", agent)%uint64(groups)) % len(here)
-		here = append(here[first:len(here):len(here)], here[:first]...)
+	if groups := (agents + agentsPerGroup - 1) / agentsPerGroup; groups > 1 && len(local) > 0 {
+		start := collectorsPerAgent * int(rendezvous.Score("collect/group", agent)%uint64(groups)) % len(local)
+		local = append(local[start:len(local):len(local)], local[:start]...)
 	}
-	known = append(known, here[:min(knownHere, len(here))]...)
-	known = append(known, there[:min(knownElsewhere, len(there))]...)
-	return known, collectors
+	candidates = append(candidates, local[:min(localCandidates, len(local))]...)
+	candidates = append(candidates, remote[:min(remoteCandidates, len(remote))]...)
+	return candidates, collectorsPerAgent
 }
 
-// CollectorOrder returns the gateways of a hall in the order in which agents of the hall
-// and gateways of others turn to them.
+// CollectorOrder returns the gateways of a hall in the order in which agents of the hall and
+// gateways of other halls choose them as collectors.
 func CollectorOrder(hall string, gateways []Member) []Member {
-	var here []Member
+	var local []Member
 	for _, g := range gateways {
 		if g.Hall == hall {
-			here = append(here, g)
+			local = append(local, g)
 		}
 	}
-	return ranked("collect", here)
+	return rankMembers("collect", local)
 }
 
-// elsewhere returns the gateways of other halls.
-func elsewhere(hall string, gateways []Member) []Member {
+// inOtherHalls returns the gateways that are not in the given hall.
+func inOtherHalls(hall string, gateways []Member) []Member {
 	var out []Member
 	for _, g := range gateways {
 		if g.Hall != hall {
@@ -63,8 +64,8 @@
 	return out
 }
 
-// ranked orders gateways for a key, the first choice first.
-func ranked(key string, gateways []Member) []Member {
+// rankMembers orders gateways by their rendezvous rank for a key, the highest first.
+func rankMembers(key string, gateways []Member) []Member {
 	byAddr := make(map[string]Member, len(gateways))
 	addrs := make([]string, len(gateways))
 	for i, g := range gateways {
--- a/internal/peers/collect_test.go
+++ b/internal/peers/collect_test.go
@@ -13,68 +13,68 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-// Whatever the order in which agents hear of gateways, those of a hall with few agents
-// agree on two of the hall to tell; the two can carry what they are told, since agents of
-// large halls are spread.
+// Agents learn of gateways in any order. Those of a hall with few agents must agree on the
+// same two collectors in the hall; those of a large hall are spread over more collectors, so
+// that each can carry its share.
 func TestAgentsAgreeOnTheirCollectors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		halls := rapid.IntRange(1, 5).Draw(t, "halls")
 		agents := rapid.IntRange(1, 600).Draw(t, "agents")
 		var gateways []Member
-		for i := range rapid.IntRange(tellHall+1, 120).Draw(t, "gateways") {
+		for i := range rapid.IntRange(hallMeshLimit+1, 120).Draw(t, "gateways") {
 			gateways = append(gateways, Member{Name: fmt.Sprint(i), Addr: fmt.Sprintf("10.0.0.%d:1", i), Hall: fmt.Sprintf("h%d", i%halls)})
 		}
-		told := map[string]int{}
+		collectors := map[string]int{}
 		for i := range agents {
 			rand.Shuffle(len(gateways), func(i, j int) { gateways[i], gateways[j] = gateways[j], gateways[i] })
-			known, tell := GatewaysFor(fmt.Sprint("agent", i), "h0", agents, gateways)
-			is.Equal(tell, collectors)
-			is.True(len(known) <= knownHere+knownElsewhere)
+			candidates, targets := GatewaysFor(fmt.Sprint("agent", i), "h0", agents, gateways)
+			is.Equal(targets, collectorsPerAgent)
+			is.True(len(candidates) <= localCandidates+remoteCandidates)
 			seen := map[string]bool{}
-			for place, g := range known {
-				is.True(!seen[g.Addr]) // Each is named once.
+			for i, g := range candidates {
+				is.True(!seen[g.Addr]) // Each is listed once.
 				seen[g.Addr] = true
-				is.True(place == 0 || known[place-1].Hall == "h0" || g.Hall != "h0") // Own ones go first.
+				is.True(i == 0 || candidates[i-1].Hall == "h0" || g.Hall != "h0") // Gateways of the own hall go first.
 			}
-			for _, g := range known[:tell] {
-				told[g.Addr]++
+			for _, g := range candidates[:targets] {
+				collectors[g.Addr]++
 			}
 		}
-		here := len(CollectorOrder("h0", gateways))
-		groups := (agents + agentsEach - 1) / agentsEach
-		if here >= collectors {
-			is.True(len(told) <= collectors*groups)
+		local := len(CollectorOrder("h0", gateways))
+		groups := (agents + agentsPerGroup - 1) / agentsPerGroup
+		if local >= collectorsPerAgent {
+			is.True(len(collectors) <= collectorsPerAgent*groups)
 		}
-		if groups == 1 && here >= collectors {
-			is.Equal(len(told), collectors)
+		if groups == 1 && local >= collectorsPerAgent {
+			is.Equal(len(collectors), collectorsPerAgent)
 		}
 	})
 }
 
-// With few gateways each is told by every agent itself.
-func TestFewGatewaysAreAllTold(t *testing.T) {
+// With few gateways, each agent reports to all of them.
+func TestAgentReportsToAllOfFewGateways(t *testing.T) {
 	is := is.New(t)
 	var gateways []Member
-	for i := range tellAll {
+	for i := range meshLimit {
 		gateways = append(gateways, Member{Addr: fmt.Sprint(i), Hall: "h0"})
 	}
-	known, tell := GatewaysFor("agent", "h1", 500, gateways)
-	is.Equal(known, gateways)
-	is.Equal(tell, 0)
+	candidates, targets := GatewaysFor("agent", "h1", 500, gateways)
+	is.Equal(candidates, gateways)
+	is.Equal(targets, 0)
 }
 
-// With some more, those of an agent's hall are told and a few others.
-func TestGatewaysOfTheHallAreTold(t *testing.T) {
+// With more gateways, an agent reports to those of its hall and a few others.
+func TestAgentReportsToItsHallAndSomeOthers(t *testing.T) {
 	is := is.New(t)
 	var gateways []Member
 	for i := range 40 {
 		gateways = append(gateways, Member{Addr: fmt.Sprint(i), Hall: fmt.Sprintf("h%d", i%4)})
 	}
-	known, tell := GatewaysFor("agent", "h1", 500, gateways)
-	is.Equal(tell, 0)
-	is.Equal(len(known), 10+tellFar)
-	for _, g := range known[:10] {
+	candidates, targets := GatewaysFor("agent", "h1", 500, gateways)
+	is.Equal(targets, 0)
+	is.Equal(len(candidates), 10+remoteTargets)
+	for _, g := range candidates[:10] {
 		is.Equal(g.Hall, "h1")
 	}
 }
--- a/internal/peers/doc.go
+++ b/internal/peers/doc.go
@@ -1,9 +1,9 @@
-// Package peers is what gateways and agents tell one another where the platform
-// can only be read.
+// Package peers defines the protocol among gateways and agents, for a platform that processes
+// can only read.
 //
-// One gateway of each hall watches the platform. Gateways announce themselves and the
-// revision that they hold to some of the others; whoever lacks something pulls it, so
-// those that do not watch, or that the platform does not answer, follow. Agents
-// subscribe to one gateway for what concerns them, an Assignment, and tell the
-// gateways of their hall and a few others how their replica stands, a Status.
+// One gateway of each hall watches the platform. Gateways announce themselves and the revision
+// that they hold to some of the others; a gateway that is behind pulls the changes, so those
+// that do not watch, or that get no answer from the platform, follow. An agent subscribes to
+// one gateway for its Assignment, and reports the Status of its replica to the gateways of its
+// hall and a few others.
 package peers
--- a/internal/peers/ends.go
+++ b/internal/peers/ends.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// ReplicaEnd is the end of a replica, as its sender saw it. Clocks differ, so its time travels as an
-// age.
+// ReplicaEnd reports the end of a replica's life as its sender observed it. Clocks differ, so
+// its time travels as an age.
 type ReplicaEnd struct {
-	ID  string        // Of the replica.
-	Age time.Duration // Of its end.
+	ID  string        // ID of the replica.
+	Age time.Duration // Time since the replica ended.
 }
 
-// Valid reports whether the end can be believed.
+// Valid reports whether the message is plausible: it names a replica, and its age is within
+// bounds.
 func (e *ReplicaEnd) Valid() bool { return e.ID != "" && e.Age >= 0 && e.Age <= MaxReportedAge }
 
-// ReplicaEnds tells which replicas ended, whatever ran there.
+// ReplicaEnds reports which replicas have ended, whatever they were running.
 type ReplicaEnds struct{ Ends []ReplicaEnd }
 
-// SendReplicaEnds tells the gateway at an address which replicas ended. Nothing shows whether it
-// arrives.
+// SendReplicaEnds sends the ends of replicas to the gateway at an address. Delivery is not
+// confirmed.
 func (g *Gossip) SendReplicaEnds(ctx context.Context, addr string, ends []ReplicaEnd) {
-	g.tell(ctx, addr, &ReplicaEnds{ends})
+	g.send(ctx, addr, &ReplicaEnds{ends})
 }
--- a/internal/peers/era_test.go
+++ b/internal/peers/era_test.go
@@ -13,15 +13,15 @@
 	"github.com/poststand/poststand/mirror"
 )
 
-// recorded is a service whose watches end only when they are given up, and that says what it is
-// told to be at.
-type recorded struct {
+// fakeService is a service at a position set by the test, whose watches end only when they are
+// cancelled.
+type fakeService struct {
 	mu      sync.Mutex
 	at      mirror.Position
-	watched []mirror.Position // From where.
+	watched []mirror.Position // Positions that watches began at.
 }
 
-func (r *recorded) follower() *Follower {
+func (r *fakeService) follower() *Follower {
 	return &Follower{
 		Mirror: &mirror.Mirror{}, Event: func(string, fault.Code) {},
 		ReadAll: func(context.Context) (mirror.Delta, error) {
@@ -47,7 +47,7 @@
 func TestWatchEndsWhenOthersTellOfALaterEra(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := &recorded{at: mirror.NewPosition(1, 9)}
+		r := &fakeService{at: mirror.NewPosition(1, 9)}
 		f := r.follower()
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = f.Run(ctx) }()
@@ -60,11 +60,12 @@
 	})
 }
 
-// An answer from before the service came back is no proof that nothing newer was made.
+// An answer from the era before the service was restored does not prove that the mirror is up
+// to date.
 func TestCheckThatIsAnsweredInAnOlderEraProvesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := &recorded{at: mirror.NewPosition(1, 90)}
+		r := &fakeService{at: mirror.NewPosition(1, 90)}
 		f := r.follower()
 		f.Mirror.Apply(mirror.Delta{Whole: true, At: mirror.NewPosition(2, 7)})
 		f.check(context.Background())
--- a/internal/peers/follow.go
+++ b/internal/peers/follow.go
@@ -17,72 +17,73 @@
 // exported fields before Run.
 type Follower struct {
 	Mirror *mirror.Mirror
-	// ReadAll reads all records; Watch waits for changes after a revision.
+	// ReadAll reads all records; Watch waits for changes after a position.
 	ReadAll func(ctx context.Context) (mirror.Delta, error)
 	Watch   func(ctx context.Context, since mirror.Position, wait time.Duration) (mirror.Delta, error)
-	// Newest reads the position of the service's newest change: a watch may hear nothing while
-	// changes are made.
+	// Newest reads the position of the service's newest change. It finds changes that a silent
+	// watch misses.
 	Newest func(ctx context.Context) (mirror.Position, error)
-	// CheckInterval is the time between two checks by one that watches; 250 ms by default.
+	// CheckInterval is the time between two checks by a process that watches; 250 ms by
+	// default.
 	CheckInterval time.Duration
 	Event         func(name string, c fault.Code)
-	// MaxAssumedAge is how long ago a change is taken to have been made, at the most, that is only
-	// found out now, where nothing proves that it is younger.
+	// MaxAssumedAge is the age that a change found only now is assumed to have at most, where
+	// nothing proves that it is younger.
 	MaxAssumedAge time.Duration
-	// Needed, if set, holds while the platform should be read; a follower that
-	// is not needed looks again after a while.
+	// Needed, if set, reports whether the platform should be read; a follower that is not
+	// needed polls it.
 	Needed func() bool
 
-	// ReadDelay, if set, returns for how long this process waits for others to tell it before it reads
-	// all records, where its place in the changes is lost.
+	// ReadDelay, if set, returns how long this process waits for changes from its peers before
+	// it reads all records, once the service no longer has the changes after its position.
 	ReadDelay func() time.Duration
 
-	// Standby, if set, reports whether this process is one of those that would watch if
-	// the one that does were lost: they miss it soonest.
+	// Standby, if set, reports whether this process is one of those that would watch if the
+	// process that does were lost: these check again the soonest.
 	Standby func() bool
 
-	mu       sync.Mutex
-	certain  time.Time // When the mirror was last known to be the newest.
-	complete time.Time // Nothing that was made before it is lacking in the mirror.
-	watching bool
-	tookAt   mirror.Position // The newest revision that this process has from the platform itself.
+	mu           sync.Mutex
+	currentAsOf  time.Time // When the mirror was last known to be up to date.
+	completeAsOf time.Time // The mirror has every change that was made before this time.
+	watching     bool
+	platformAt   mirror.Position // The newest position that this process received from the platform itself.
 }
 
-// MarkCurrent records that the mirror was the newest at a time, by what was heard. What was heard
-// may have been on its way for a while: this is a hint of when to look again, and nothing is
-// dated by it.
+// MarkCurrent records that the mirror was up to date at a time, by a peer's message. The
+// message may have been delayed, so this only schedules the next check: no change is dated by
+// it.
 func (f *Follower) MarkCurrent(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at.After(f.certain) {
-		f.certain = at
+	if at.After(f.currentAsOf) {
+		f.currentAsOf = at
 	}
 }
 
-// CurrentAsOf is when the mirror was last known to be the newest.
+// CurrentAsOf returns when the mirror was last known to be up to date.
 func (f *Follower) CurrentAsOf() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.certain
+	return f.currentAsOf
 }
 
-// MarkComplete records that nothing that was made before a time is lacking in the mirror: this
-// process asked then or later, and what the answer told is here.
+// MarkComplete records that the mirror has every change made before a time: this process sent
+// a request then or later, and the answer has been applied.
 func (f *Follower) MarkComplete(before time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.complete = times.Later(f.complete, before)
+	f.completeAsOf = times.Later(f.completeAsOf, before)
 }
 
-// CompleteAsOf is the time before which nothing was made that the mirror lacks.
+// CompleteAsOf returns the time before which no change was made that the mirror lacks.
 func (f *Follower) CompleteAsOf() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.complete
+	return f.completeAsOf
 }
 
-// Watching reports whether the platform is being watched, as far as this process
-// can tell: nothing has failed since.
+// Watching reports whether this process watches the platform, as far as it can tell: nothing
+// has failed since the last answer.
 func (f *Follower) Watching() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,202 +96,204 @@
 	f.watching = yes
 }
 
-// PlatformPosition returns the newest revision that this process has from the platform itself, or is
-// about to have.
+// PlatformPosition returns the newest position that this process received from the platform
+// itself, including one that is just being applied.
 func (f *Follower) PlatformPosition() mirror.Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.tookAt
+	return f.platformAt
 }
 
-// apply takes what came from the platform.
-func (f *Follower) apply(d mirror.Delta) {
+// applyFromPlatform applies a delta that came from the platform.
+func (f *Follower) applyFromPlatform(d mirror.Delta) {
 	f.mu.Lock()
-	f.tookAt = max(f.tookAt, d.At) // Before it is applied: that wakes the one who passes it on.
+	f.platformAt = max(f.platformAt, d.At) // Before Apply, which wakes the goroutine that forwards changes.
 	f.mu.Unlock()
 	f.Mirror.Apply(d)
 }
 
-// dated returns a delta with the times before which nothing in it was made that the mirror
-// lacks: as is proved, and as far as this process doubts.
-func (f *Follower) dated(d mirror.Delta) mirror.Delta {
+// withLowerBounds returns a delta with the times before which no change in it that the mirror
+// lacks was made: the proven one, and the one that is assumed.
+func (f *Follower) withLowerBounds(d mirror.Delta) mirror.Delta {
 	d.NotBefore, d.AssumedNotBefore = f.CompleteAsOf(), time.Now().Add(-f.MaxAssumedAge)
 	return d
 }
 
-// settledIn is how long a process that has started, or has been cut off, may still use a
-// version that was overtaken it does not know when.
-const settledIn = 2500 * time.Millisecond
+// settleTime is how long a process that has started, or was cut off, may still use a version
+// that was replaced at an unknown time.
+const settleTime = 2500 * time.Millisecond
 
-// MaxAssumedAgeFor is the Doubt of a process that may use a version for a while after it was
-// overtaken.
+// MaxAssumedAgeFor returns the MaxAssumedAge of a process that may use a version for the given
+// time after it was replaced.
 func MaxAssumedAgeFor(versionWithin time.Duration) time.Duration {
-	return max(0, versionWithin-settledIn)
+	return max(0, versionWithin-settleTime)
 }
 
-// Waits of a Follower.
+// Timing of a Follower.
 const (
-	watchWait  = 20 * time.Second
-	watchSlack = 2 * time.Second // For the answer to a watch that nothing ended.
-	wholeIn    = 5 * time.Second
-	retryFirst = 100 * time.Millisecond
-	retryMost  = time.Second
-	idleLook   = 250 * time.Millisecond // While the platform need not be read,
-	startLook  = 20 * time.Millisecond  // and while nothing is known at all.
-	checkEvery = 250 * time.Millisecond // The default of CheckEvery.
-	checkLag   = 300 * time.Millisecond // The process's own watch tells of a change by then.
-	// standbySlack is how much longer than the interval of checks those on standby wait
-	// for word of one, and otherChecks for how many of them the others do.
-	standbySlack = 400 * time.Millisecond
-	otherChecks  = 4
-	watchHolds   = time.Second            // A watch that was not refused by then is taken as answered.
-	watchPause   = 150 * time.Millisecond // After changes, so that many at once cost few calls.
+	watchWait            = 20 * time.Second
+	watchSlack           = 2 * time.Second // Added to watchWait for the answer to arrive.
+	readAllTimeout       = 5 * time.Second
+	minRetryDelay        = 100 * time.Millisecond
+	maxRetryDelay        = time.Second
+	idlePollInterval     = 250 * time.Millisecond // Time between polls while the platform need not be read.
+	startPollInterval    = 20 * time.Millisecond  // Time between polls while the mirror is empty.
+	defaultCheckInterval = 250 * time.Millisecond // The default of CheckInterval.
+	watchLag             = 300 * time.Millisecond // By then this process's own watch should have reported a change.
+	// standbySlack is how much longer than the interval of checks a process on standby waits
+	// for the report of a check, and otherChecks is how many intervals the others wait.
+	standbySlack       = 400 * time.Millisecond
+	otherChecks        = 4
+	watchAcceptedAfter = time.Second            // A watch that has not failed by then counts as answered.
+	changePause        = 150 * time.Millisecond // Pause after changes, so that a burst of changes costs few calls.
 )
 
-// Run follows until ctx ends.
+// Run keeps the mirror up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
-	r := reading{wait: retryFirst}
+	r := readState{retryDelay: minRetryDelay}
 	for ctx.Err() == nil {
 		if f.Needed != nil && !f.Needed() {
-			f.idle(ctx)
+			f.waitIdle(ctx)
 			continue
 		}
-		had := f.Mirror.At()
-		r.whole = r.whole && had == r.gone // Else others have told.
+		prev := f.Mirror.At()
+		r.readAll = r.readAll && prev == r.lostAt // Otherwise peers sent the changes.
 		err := f.attempt(ctx, &r)
 		switch {
 		case err == nil:
-			r.answered(f.Mirror.At())
+			r.succeeded(f.Mirror.At())
 		case ctx.Err() != nil:
 			return nil
-		case f.Needed != nil && !f.Needed(), f.Mirror.At().Era() > had.Era():
-			// It was ended since others have told, or nothing is wanted of it now.
+		case f.Needed != nil && !f.Needed(), f.Mirror.At().Era() > prev.Era():
+			// The read was cancelled because peers sent the changes, or it is no longer
+			// needed.
 		default:
-			f.failed(ctx, &r, err, had)
+			f.handleFailure(ctx, &r, err, prev)
 		}
 	}
 	return nil
 }
 
-// reading is how it stands with a Follower's reads.
-type reading struct {
-	wait   time.Duration   // After the next failure.
-	lost   bool            // The last read failed.
-	whole  bool            // The next one is of all records,
-	gone   mirror.Position // since the service does not tell what followed this.
-	rushed bool            // A whole was read without a pause, and no watch was answered since.
+// readState is the state of a Follower's reads.
+type readState struct {
+	retryDelay    time.Duration   // Delay after the next failure.
+	failing       bool            // The last read failed.
+	readAll       bool            // The next read is of all records.
+	lostAt        mirror.Position // Position after which the service no longer has the changes.
+	retriedAtOnce bool            // All records were read without a delay, and no watch has been answered since.
 }
 
-// answered takes note of a read that was answered.
-func (r *reading) answered(at mirror.Position) {
-	if r.lost {
+// succeeded records a successful read.
+func (r *readState) succeeded(at mirror.Position) {
+	if r.failing {
 		telemetry.Log("store_regained", "at", at)
 	}
-	if !r.whole {
-		r.wait, r.rushed = retryFirst, false
+	if !r.readAll {
+		r.retryDelay, r.retriedAtOnce = minRetryDelay, false
 	}
-	r.lost, r.whole = false, false
+	r.failing, r.readAll = false, false
 }
 
-// idle waits while the platform need not be read.
-func (f *Follower) idle(ctx context.Context) {
+// waitIdle waits while the platform need not be read.
+func (f *Follower) waitIdle(ctx context.Context) {
 	f.setWatching(false)
-	look := idleLook
+	interval := idlePollInterval
 	if f.Mirror.At() == 0 {
-		look = startLook
+		interval = startPollInterval
 	}
-	kernel.Sleep(ctx, look)
+	kernel.Sleep(ctx, interval)
 }
 
-// attempt reads once, and keeps what others are told of that up to date.
-func (f *Follower) attempt(ctx context.Context, r *reading) error {
-	if !r.lost {
+// attempt reads once and updates whether this process counts as watching.
+func (f *Follower) attempt(ctx context.Context, r *readState) error {
+	if !r.failing {
 		f.setWatching(true)
 	}
-	answered := time.AfterFunc(watchHolds, func() { f.setWatching(true) })
-	err := f.once(ctx, r.whole)
+	answered := time.AfterFunc(watchAcceptedAfter, func() { f.setWatching(true) })
+	err := f.readOnce(ctx, r.readAll)
 	answered.Stop()
 	f.setWatching(err == nil)
 	return err
 }
 
-// failed takes note of a read after a position that failed, and waits until the next one.
-func (f *Follower) failed(ctx context.Context, r *reading, err error, had mirror.Position) {
-	if !r.lost {
+// handleFailure records a failed read that began at prev, and waits until the next one is due.
+func (f *Follower) handleFailure(ctx context.Context, r *readState, err error, prev mirror.Position) {
+	if !r.failing {
 		telemetry.Log("store_lost", "reason", fault.CodeOf(err), "at", f.Mirror.At(), "detail", err.Error())
 	}
-	r.lost = true
+	r.failing = true
 	if f.Event != nil {
 		f.Event("store_failed", fault.CodeOf(err))
 	}
 	if fault.Is(err, fault.HistoryGone) {
-		r.whole, r.gone = !f.told(ctx, had), had
-		if !r.rushed {
-			r.rushed = true
+		r.readAll, r.lostAt = !f.waitForPeers(ctx, prev), prev
+		if !r.retriedAtOnce {
+			r.retriedAtOnce = true
 			return
 		}
 	}
-	kernel.Sleep(ctx, r.wait/2+rand.N(r.wait))
-	r.wait = min(2*r.wait, retryMost)
+	kernel.Sleep(ctx, r.retryDelay/2+rand.N(r.retryDelay))
+	r.retryDelay = min(2*r.retryDelay, maxRetryDelay)
 }
 
-// told waits while it is others' turn to read all records, and reports whether they have told
-// of what followed a position.
-func (f *Follower) told(ctx context.Context, had mirror.Position) bool {
+// waitForPeers waits for the time of ReadDelay, in which peers that read all records first may
+// send them, and reports whether the mirror moved past prev.
+func (f *Follower) waitForPeers(ctx context.Context, prev mirror.Position) bool {
 	if f.ReadDelay == nil {
 		return false
 	}
-	until := time.Now().Add(f.ReadDelay())
-	for ctx.Err() == nil && f.Mirror.At() == had && time.Now().Before(until) {
-		kernel.Sleep(ctx, startLook)
+	deadline := time.Now().Add(f.ReadDelay())
+	for ctx.Err() == nil && f.Mirror.At() == prev && time.Now().Before(deadline) {
+		kernel.Sleep(ctx, startPollInterval)
 	}
-	return f.Mirror.At() > had
+	return f.Mirror.At() > prev
 }
 
-// once reads once: all records while the mirror is empty or its place in the
-// changes was lost, and else what changes next.
-func (f *Follower) once(ctx context.Context, whole bool) error {
+// readOnce performs one read: of all records while the mirror is empty or its position is
+// unknown to the service, otherwise of the next changes.
+func (f *Follower) readOnce(ctx context.Context, whole bool) error {
 	if whole || f.Mirror.At() == 0 {
-		return f.readAll(ctx)
+		return f.readSnapshot(ctx)
 	}
 	since := f.Mirror.At()
 	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
 	defer cancel()
 	go f.cancelOutdated(ctx, cancel, since)
-	asked := time.Now()
+	requestedAt := time.Now()
 	d, err := f.Watch(ctx, since, watchWait)
 	if err != nil {
 		return err
 	}
-	// Not of now: a watch that begins after a gap is told at once what was missed in it,
-	// and an answer may have lain in the socket while this process stood still. Dated now,
-	// gateways that stood still over a naming would use the older version too long.
-	f.take(d, asked)
+	// The delta is dated by the request, not by its answer: a watch that begins after a gap is
+	// answered at once with the changes missed in it, and an answer may wait in the socket
+	// while this process is paused. Dated by the answer, gateways that were paused while the
+	// target version changed would use the older version for too long.
+	f.applyRead(d, requestedAt)
 	if len(d.Records) > 0 {
 		telemetry.Log("store_changed", "at", d.At, "since", since, "records", len(d.Records), "first", d.Records[0].Key)
-		kernel.Sleep(ctx, watchPause)
+		kernel.Sleep(ctx, changePause)
 	}
 	return nil
 }
 
-func (f *Follower) readAll(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, wholeIn)
+func (f *Follower) readSnapshot(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readAllTimeout)
 	defer cancel()
 	go f.cancelUnneeded(ctx, cancel)
-	asked := time.Now()
+	requestedAt := time.Now()
 	d, err := f.ReadAll(ctx)
 	if err != nil {
 		return err
 	}
-	had := f.Mirror.At()
-	f.take(d, asked)
-	over, key := f.Mirror.NotApplied(d)
-	telemetry.Log("store_read", "at", d.At, "had", had, "records", len(d.Records), "bytes", d.Bytes(), "passed_over", over, "such_as", key)
+	prev := f.Mirror.At()
+	f.applyRead(d, requestedAt)
+	n, key := f.Mirror.NotApplied(d)
+	telemetry.Log("store_read", "at", d.At, "had", prev, "records", len(d.Records), "bytes", d.Bytes(), "passed_over", n, "such_as", key)
 	return nil
 }
 
-// cancelOutdated ends a watch when others have told of a later era: the service tells nothing
-// more on it.
+// cancelOutdated cancels a watch once peers have sent a later era: the service sends nothing
+// more on that watch.
 func (f *Follower) cancelOutdated(ctx context.Context, cancel context.CancelFunc, since mirror.Position) {
 	for {
 		at, changed := f.Mirror.Watch()
@@ -306,93 +309,93 @@
 	}
 }
 
-// cancelUnneeded ends a read of all records when somebody has told of them meanwhile:
-// they are many bytes on a link that others share.
+// cancelUnneeded cancels a read of all records once it is no longer needed, since peers have
+// sent them: they are many bytes on a shared link.
 func (f *Follower) cancelUnneeded(ctx context.Context, cancel context.CancelFunc) {
-	for ; ctx.Err() == nil; kernel.Sleep(ctx, startLook) {
+	for ; ctx.Err() == nil; kernel.Sleep(ctx, startPollInterval) {
 		if f.Needed != nil && !f.Needed() {
 			cancel()
 		}
 	}
 }
 
-// take applies what was read rather than told, as asked for at a time.
-func (f *Follower) take(d mirror.Delta, asked time.Time) {
-	f.apply(f.dated(d))
+// applyRead applies a delta read from the platform by a request sent at the given time.
+func (f *Follower) applyRead(d mirror.Delta, requestedAt time.Time) {
+	f.applyFromPlatform(f.withLowerBounds(d))
 	f.MarkCurrent(time.Now())
-	f.MarkComplete(asked)
+	f.MarkComplete(requestedAt)
 }
 
-// RunChecks compares the mirror with the service's newest revision now and then, and
-// reads all records where the watch did not tell. A process that watches does so at even
-// intervals; the others hear from it how lately the mirror was the newest, and check for
-// themselves when that is long ago. Whoever finds something tells the others.
+// RunChecks compares the mirror with the service's newest position at intervals, and reads all
+// records if the watch missed a change. A process that watches checks at even intervals. The
+// others learn from its announcements when the mirror was last up to date, and check by
+// themselves once that is long ago. A process that finds a change forwards it to the others.
 func (f *Follower) RunChecks(ctx context.Context) error {
-	every := f.CheckInterval
-	if every == 0 {
-		every = checkEvery
+	interval := f.CheckInterval
+	if interval == 0 {
+		interval = defaultCheckInterval
 	}
 	for ctx.Err() == nil {
-		kernel.Sleep(ctx, every/2-every/16+rand.N(every/8))
-		if f.Mirror.At() > 0 && time.Since(f.CurrentAsOf()) >= f.uncheckedFor(every) {
+		kernel.Sleep(ctx, interval/2-interval/16+rand.N(interval/8))
+		if f.Mirror.At() > 0 && time.Since(f.CurrentAsOf()) >= f.checkAfter(interval) {
 			f.check(ctx)
 		}
 	}
 	return nil
 }
 
-// uncheckedFor is how long ago the mirror was last known to be the newest when this
-// process checks. Word of a check of one that watches comes to those on standby within
-// some 0.4 s, and takes some announcements on its way to the others.
-func (f *Follower) uncheckedFor(every time.Duration) time.Duration {
+// checkAfter returns how long after the mirror was last known to be up to date this process
+// checks. The result of a check by a watching process reaches those on standby within some
+// 0.4 s, and the others after a few announcements.
+func (f *Follower) checkAfter(interval time.Duration) time.Duration {
 	switch {
 	case f.Watching():
-		return every / 2
+		return interval / 2
 	case f.Standby != nil && f.Standby():
-		return every + standbySlack
+		return interval + standbySlack
 	}
-	return otherChecks * every
+	return otherChecks * interval
 }
 
 func (f *Follower) check(ctx context.Context) {
-	asked := time.Now()
-	at, err := f.newest(ctx)
+	requestedAt := time.Now()
+	at, err := f.readNewest(ctx)
 	if err != nil {
-		// The watch may hear nothing either. Others are not kept from watching by it.
+		// The watch may be silent too. Other processes may take over watching meanwhile.
 		f.setWatching(false)
 		telemetry.Log("store_check_failed", "reason", fault.CodeOf(err), "at", f.Mirror.At(), "certain", time.Since(f.CurrentAsOf()))
 		f.Event("store_check_failed", fault.CodeOf(err))
 		return
 	}
-	had := f.Mirror.At()
+	prev := f.Mirror.At()
 	switch {
-	case at.Era() > had.Era():
-		f.told(ctx, had)
-	case at > had && f.Watching():
-		kernel.Sleep(ctx, checkLag)
+	case at.Era() > prev.Era():
+		f.waitForPeers(ctx, prev)
+	case at > prev && f.Watching():
+		kernel.Sleep(ctx, watchLag)
 	}
-	had = f.Mirror.At()
-	if at.Era() < had.Era() {
-		telemetry.Log("store_check_of_an_older_era", "had", had, "newest", at)
-		return // It proves nothing of this one.
+	prev = f.Mirror.At()
+	if at.Era() < prev.Era() {
+		telemetry.Log("store_check_of_an_older_era", "had", prev, "newest", at)
+		return // An older era proves nothing about the current one.
 	}
-	if at <= had {
+	if at <= prev {
 		f.MarkCurrent(time.Now())
-		f.MarkComplete(asked)
+		f.MarkComplete(requestedAt)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, wholeIn) // Of its own: records are many on a slow link.
+	ctx, cancel := context.WithTimeout(ctx, readAllTimeout) // A timeout separate from that of the check: the records may take long on a slow link.
 	defer cancel()
-	asked = time.Now()
+	requestedAt = time.Now()
 	d, err := f.ReadAll(ctx)
-	telemetry.Log("store_watch_behind", "had", had, "newest", at, "read", d.At, "reason", fault.CodeOf(err))
+	telemetry.Log("store_watch_behind", "had", prev, "newest", at, "read", d.At, "reason", fault.CodeOf(err))
 	if err == nil {
-		f.take(d, asked)
+		f.applyRead(d, requestedAt)
 	}
 }
 
-// newest is Newest, not waited for long.
-func (f *Follower) newest(ctx context.Context) (mirror.Position, error) {
+// readNewest calls Newest with a short timeout.
+func (f *Follower) readNewest(ctx context.Context) (mirror.Position, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchSlack)
 	defer cancel()
 	return f.Newest(ctx)
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -15,87 +15,86 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Waits of a Gossip.
+// Timing and limits of a Gossip.
 const (
-	announceEvery = 500 * time.Millisecond  // Without news,
-	announceLeast = 100 * time.Millisecond  // and between two that have some.
-	announceIn    = time.Second             // An announcement without an answer is given up.
-	liveFor       = 2500 * time.Millisecond // With few gateways; longer where signs travel through others.
-	forgetAfter   = 30 * time.Second
-	pullAfter     = 150 * time.Millisecond // Where the platform itself usually tells sooner.
-	pullAcross    = 800 * time.Millisecond // From another hall, where one of the own hall usually tells sooner.
-	pullWithin    = 2 * time.Second
-	// A gateway that watches the platform passes on to its hall what changed, if it is
-	// not more than this: larger changes are announced, and the others get them from
-	// one another.
-	pushMost = 16 << 10 // Bytes.
-	// pushWhole is the same for all records, after changes that no watch told of: they
-	// have been long on their way by then.
-	pushWhole = 96 << 10
-	// pushBack is how far back what is passed on reaches: one that was lost is made up
-	// for by the next.
-	pushBack = time.Second
-	// announcedEach is with how many gateways each announces itself less often: the
-	// time between two grows with their number beyond it.
-	announcedEach = 60
-	// What a gateway sends is bounded, however many there are: it announces itself
-	// to so many others, and tells of so many.
-	neighbours = 8
-	toldOf     = 24
-	inHall     = 6 // Of the neighbours.
-	tellsOf    = 4 // Of so many announcements one tells of other gateways.
-	// So many of a hall may watch the platform: each one only while none before it
-	// does.
-	watchers = 3
-	// One that watches tells the first ones of all halls so often; one of them watches as
-	// well if it has not been told for a while.
-	leadEvery = 300 * time.Millisecond
-	leadFor   = time.Second
+	announceInterval    = 500 * time.Millisecond  // Time between announcements without changes.
+	minAnnounceInterval = 100 * time.Millisecond  // Least time between announcements with changes.
+	announceTimeout     = time.Second             // Time allowed for the answer to an announcement.
+	liveTimeout         = 2500 * time.Millisecond // A gateway not seen for this long is not live; longer if announcements pass through other gateways.
+	forgetAfter         = 30 * time.Second
+	pullDelay           = 150 * time.Millisecond // Delay before a pull, as the platform itself usually sends the change sooner.
+	crossHallPullDelay  = 800 * time.Millisecond // Delay before a pull from another hall, as a gateway of this hall usually sends the change sooner.
+	pullTimeout         = 2 * time.Second
+	// A gateway that watches the platform pushes changes to its hall up to this size. Larger
+	// changes are announced, and the others pull them from one another.
+	maxPushBytes = 16 << 10 // Bytes.
+	// maxFullPushBytes is the limit for a push of all records, which follows changes that no
+	// watch reported: these are late already.
+	maxFullPushBytes = 96 << 10
+	// pushLookback is how far back a push reaches, so that the next push makes up for a lost
+	// one.
+	pushLookback = time.Second
+	// gatewaysPerInterval is the number of gateways up to which each announces itself at the
+	// full rate; beyond it, the interval grows in proportion.
+	gatewaysPerInterval = 60
+	// These bound what a gateway sends, however many gateways there are: the number of
+	// gateways that it announces itself to, and of those that an announcement lists.
+	neighbours      = 8
+	maxKnownSent    = 24
+	localNeighbours = 6 // Neighbours that are in the same hall.
+	roundsPerKnown  = 4 // One round in this many lists other gateways.
+	// watchersPerHall is how many gateways of a hall may watch the platform: each one only
+	// while none that ranks before it does.
+	watchersPerHall = 3
+	// A gateway that watches announces that to the first gateways of all halls at this
+	// interval; one of them begins to watch if it receives none within the timeout.
+	watchAnnounceInterval = 300 * time.Millisecond
+	watchTimeout          = time.Second
 )
 
-// Gossip keeps the list of gateways and a mirror that is no older than theirs.
-// Set the exported fields before Run.
+// Gossip maintains the list of gateways and keeps its mirror up to date with theirs. Set the
+// exported fields before Run.
 type Gossip struct {
 	Self     Member
 	Pool     *wire.Pool
 	Mirror   *mirror.Mirror
-	Follower *Follower // Reads the platform itself, now and then.
-	Join     []string  // Addresses to ask before any gateway is known.
-	// Suspects are told to other gateways, and what they tell is learnt; nil is none.
+	Follower *Follower // Reads the platform itself when needed.
+	Join     []string  // Addresses to contact before any gateway is known.
+	// Suspects are exchanged with other gateways; nil for none.
 	Suspects *quarantine.Table
 
-	mu      sync.Mutex
-	members map[string]*member // By address.
-	pulling bool
-	waiting bool // For one of the own hall to tell what one of another hall knows.
-	// The newest revisions that came by a pull, where others may lack them as well, and
-	// from a gateway of another hall, for all of this one; and up to which one it was
-	// decided whether to pass them on.
-	pulledAt, onwardAt, handledAt mirror.Position
-	rounds                        int
-	pushes                        []pushed // Of late, the oldest first.
-	learnt                        chan struct{}
-	once                          sync.Once
-	many                          atomic.Bool // As of the last round.
-	spoken                        spoken
-	askingHeld                    atomic.Bool // Another gateway, for records that it holds.
+	mu          sync.Mutex
+	members     map[string]*member // By address.
+	pulling     bool
+	pullDelayed bool // A pull from another hall waits, since a gateway of this hall may send the changes.
+	// The newest positions that were pulled, which other gateways may lack as well, and that a
+	// gateway of another hall sent for this hall; and the position up to which the decision to
+	// push has been made.
+	pulledAt, forwardAt, handledAt mirror.Position
+	rounds                         int
+	pushMarks                      []pushMark // Recent pushes, the oldest first.
+	joinAttempted                  chan struct{}
+	initOnce                       sync.Once
+	manyGateways                   atomic.Bool // See ManyGateways; updated each round.
+	capabilities                   capabilityCache
+	requestingHeld                 atomic.Bool // A request for records held by another gateway is under way.
 }
 
 type member struct {
 	Member
-	heard    time.Time // Zero if it never answered.
-	named    time.Time // When someone last named it.
-	at       mirror.Position
-	watches  bool // It watches the platform, by its last sign.
-	talking  bool
-	live     bool   // As last logged.
-	suspects uint64 // quarantine.Table.Digest of it, by its last sign.
+	lastHeard      time.Time // Zero if it never answered.
+	lastNamed      time.Time // When another gateway last listed it.
+	at             mirror.Position
+	watching       bool // It watches the platform, by its last announcement.
+	announcing     bool
+	live           bool   // As last logged.
+	suspectsDigest uint64 // Its quarantine.Table.Digest, by its last announcement.
 }
 
 func (g *Gossip) init() {
-	g.once.Do(func() {
+	g.initOnce.Do(func() {
 		g.members = map[string]*member{}
-		g.learnt = make(chan struct{})
+		g.joinAttempted = make(chan struct{})
 	})
 }
 
@@ -103,22 +102,22 @@
 func (g *Gossip) Serve(hs *wire.Handlers) {
 	g.init()
 	wire.On(hs, func(ctx context.Context, s *wire.Stream, m *Announcement) {
-		g.heard(m, time.Time{})
-		eras, _ := g.spoken.knows(s.Conn())
+		g.handleAnnouncement(m, time.Time{})
+		eras, _ := g.capabilities.load(s.Conn())
 		_ = s.SendLast(ctx, g.announcement(m.From.Addr, len(m.Known) > 0, eras))
 	})
 	wire.On(hs, func(ctx context.Context, s *wire.Stream, m *Pull) {
 		_ = s.SendLast(ctx, g.answerPull(s.Conn(), m))
 	})
-	wire.On(hs, g.serveSpeaks)
+	wire.On(hs, g.serveCapabilities)
 	wire.On(hs, g.serveHeldKeys)
-	wire.On(hs, g.serveAskHeld)
+	wire.On(hs, g.serveHeldRequest)
 	wire.On(hs, func(_ context.Context, _ *wire.Stream, m *Records) {
-		g.takePush(m)
+		g.handlePush(m)
 	})
 }
 
-// Live returns the gateways that were heard of late, this one among them.
+// Live returns the gateways seen recently, including this one.
 func (g *Gossip) Live() []Member {
 	g.init()
 	g.mu.Lock()
@@ -126,7 +125,7 @@
 	out := []Member{g.Self}
 	now := time.Now()
 	for _, m := range g.members {
-		if g.fresh(m, now) {
+		if g.isLive(m, now) {
 			out = append(out, m.Member)
 		}
 	}
@@ -134,41 +133,42 @@
 	return out
 }
 
-// KnownCount returns how many gateways there are by what was heard within a while, this
-// one among them: those that have fallen silent count too.
+// KnownCount returns the number of gateways that have been seen and are not forgotten yet,
+// including this one: those that have recently fallen silent count too.
 func (g *Gossip) KnownCount() int {
 	g.init()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 1
 	for _, m := range g.members {
-		if !m.heard.IsZero() {
+		if !m.lastHeard.IsZero() {
 			n++
 		}
 	}
 	return n
 }
 
-// ManyGateways reports whether there are so many gateways that agents tell only some.
-func (g *Gossip) ManyGateways() bool { return g.many.Load() }
+// ManyGateways reports whether there are so many gateways that agents report to some of them
+// only.
+func (g *Gossip) ManyGateways() bool { return g.manyGateways.Load() }
 
-// fresh reports whether a gateway was heard of late. The caller holds g.mu.
-func (g *Gossip) fresh(m *member, now time.Time) bool {
+// isLive reports whether a gateway was seen recently. The caller holds g.mu.
+func (g *Gossip) isLive(m *member, now time.Time) bool {
 	hops := 1 + len(g.members)/(2*neighbours)
-	return now.Sub(m.heard) < time.Duration(hops)*liveFor
+	return now.Sub(m.lastHeard) < time.Duration(hops)*liveTimeout
 }
 
-// announcement tells the gateway at an address of this one and, if others is set, of some
-// others. It names the era if that gateway understands it.
+// announcement returns the announcement for the gateway at an address, with a list of other
+// gateways if others is set. It includes the era if that gateway supports eras.
 func (g *Gossip) announcement(to string, others, eras bool) *Announcement {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	a := &Announcement{From: g.Self, Watching: g.Follower.Watching()}
-	a.CurrentAge = now.Sub(g.Follower.CurrentAsOf()) // Before At, so that it is not of an older one.
+	a.CurrentAge = now.Sub(g.Follower.CurrentAsOf()) // Read before At, so that it does not belong to an older position.
 	a.CompleteAge = now.Sub(g.Follower.CompleteAsOf())
 	a.At = g.Mirror.At()
-	a.ChangeAges = dates(g.Mirror.WithHistory(now.Add(-datedFor)), now)
+	a.ChangeAges = changeAges(g.Mirror.WithHistory(now.Add(-changeAgesFor)), now)
 	if !eras {
 		a.withoutEra()
 	}
@@ -176,18 +176,18 @@
 	if !others {
 		return a
 	}
-	for _, m := range g.members { // In no order, so that all are told of in time.
-		if len(a.Known) == toldOf {
+	for _, m := range g.members { // In random order, so that each is listed in time.
+		if len(a.Known) == maxKnownSent {
 			break
 		}
-		if g.fresh(m, now) {
-			a.Known = append(a.Known, KnownMember{m.Member, now.Sub(m.heard), m.watches})
+		if g.isLive(m, now) {
+			a.Known = append(a.Known, KnownMember{m.Member, now.Sub(m.lastHeard), m.watching})
 		}
 	}
 	return a
 }
 
-func (g *Gossip) note(m Member, now time.Time) *member {
+func (g *Gossip) recordMember(m Member, now time.Time) *member {
 	if m.Addr == "" || m.Addr == g.Self.Addr {
 		return nil
 	}
@@ -199,113 +199,114 @@
 	if m.Name != "" {
 		e.Member = m
 	}
-	e.Addr, e.named = m.Addr, now
+	e.Addr, e.lastNamed = m.Addr, now
 	return e
 }
 
-// heard takes another gateway's announcement, which answers what was asked at a time, or
-// came unasked if that is zero.
-func (g *Gossip) heard(a *Announcement, asked time.Time) {
+// handleAnnouncement processes another gateway's announcement: the answer to a request sent at
+// requestedAt, or an unsolicited one if that is zero.
+func (g *Gossip) handleAnnouncement(a *Announcement, requestedAt time.Time) {
 	now := time.Now()
 	g.mu.Lock()
-	e := g.note(a.From, now)
+	e := g.recordMember(a.From, now)
 	if e == nil {
 		g.mu.Unlock()
 		return
 	}
-	e.heard, e.at, e.suspects = now, max(e.at, a.At), a.SuspectsDigest
-	e.watches = a.Watching && a.At.Era() >= g.Mirror.At().Era() // Else it tells nothing that is taken here.
+	e.lastHeard, e.at, e.suspectsDigest = now, max(e.at, a.At), a.SuspectsDigest
+	e.watching = a.Watching && a.At.Era() >= g.Mirror.At().Era() // Otherwise it sends no changes that apply here.
 	if !e.live {
 		e.live = true
 		telemetry.Log("peer_gained", "peer", e.Name, "addr", e.Addr, "hall", e.Hall, "at", a.At)
-		g.tellHeld(g.Pool.Lifetime, []string{e.Addr})
+		g.announceHeld(g.Pool.Lifetime, []string{e.Addr})
 	}
 	for _, k := range a.Known {
-		if e := g.note(k.Member, now); e != nil && now.Add(-k.Age).After(e.heard) {
-			e.heard, e.watches = now.Add(-k.Age), k.Watching
+		if e := g.recordMember(k.Member, now); e != nil && now.Add(-k.Age).After(e.lastHeard) {
+			e.lastHeard, e.watching = now.Add(-k.Age), k.Watching
 		}
 	}
 	behind := a.At > g.Mirror.At() && !g.pulling
-	across := behind && a.From.Hall != g.Self.Hall && g.toldHere(now)
+	across := behind && a.From.Hall != g.Self.Hall && g.hasLocalSource(now)
 	switch {
-	case across && g.waiting:
+	case across && g.pullDelayed:
 		behind = false
 	case across:
-		g.waiting = true
+		g.pullDelayed = true
 	default:
 		g.pulling = g.pulling || behind
 	}
 	g.mu.Unlock()
-	g.learnSuspects(a, asked, now)
+	g.learnSuspects(a, requestedAt, now)
 	if a.At == g.Mirror.At() {
 		g.Follower.MarkCurrent(now.Add(-a.CurrentAge))
 	}
-	if !asked.IsZero() { // Else it may have been long on its way.
-		g.learn(a, asked)
+	if !requestedAt.IsZero() { // An unsolicited announcement may have been delayed.
+		g.learnChangeAges(a, requestedAt)
 	}
 	switch {
 	case across && behind:
-		go g.pullLater(a.From.Addr)
+		go g.pullAfterDelay(a.From.Addr)
 	case behind:
 		go g.pull(a.From.Addr)
 	}
 }
 
-// learn takes what another gateway, asked at a time, knows of when changes were made.
-func (g *Gossip) learn(a *Announcement, asked time.Time) {
+// learnChangeAges applies the ages in another gateway's answer to a request sent at
+// requestedAt.
+func (g *Gossip) learnChangeAges(a *Announcement, requestedAt time.Time) {
 	if at := g.Mirror.At(); a.At <= at && a.At.Era() == at.Era() {
-		g.Follower.MarkComplete(asked.Add(-a.CompleteAge))
+		g.Follower.MarkComplete(requestedAt.Add(-a.CompleteAge))
 	}
 	for _, d := range a.ChangeAges {
-		g.Mirror.UpdateNotBefore(d.Key, d.Rev, asked.Add(-d.Age))
+		g.Mirror.UpdateNotBefore(d.Key, d.Rev, requestedAt.Add(-d.Age))
 	}
 }
 
-// JoinAttempted is closed once every address to join was asked, whether it answered or
-// not.
+// JoinAttempted returns a channel that is closed once every address in Join was contacted,
+// whether it answered or not.
 func (g *Gossip) JoinAttempted() <-chan struct{} {
 	g.init()
-	return g.learnt
+	return g.joinAttempted
 }
 
-// Run announces until ctx ends.
+// Run announces this gateway to others until ctx ends.
 func (g *Gossip) Run(ctx context.Context) error {
 	g.init()
 	for _, addr := range g.Join {
 		g.mu.Lock()
-		g.note(Member{Addr: addr}, time.Now())
+		g.recordMember(Member{Addr: addr}, time.Now())
 		g.mu.Unlock()
 	}
 	first := g.round(ctx)
 	go func() {
 		first.Wait()
-		close(g.learnt)
+		close(g.joinAttempted)
 	}()
-	due := time.Now().Add(g.every())
+	due := time.Now().Add(g.roundInterval())
 	for ctx.Err() == nil {
 		_, changed := g.Mirror.Watch()
-		urgent := g.urgent()
+		suspects := g.urgentSuspects()
 		began := time.Now()
 		t := time.NewTimer(max(time.Millisecond, due.Sub(began)))
-		hurried := false
+		urgentRound := false
 		select {
 		case <-changed:
-		case <-urgent:
-			hurried = true
-			kernel.Sleep(ctx, suspectsLeast-announceLeast)
+		case <-suspects:
+			urgentRound = true
+			kernel.Sleep(ctx, minUrgentInterval-minAnnounceInterval)
 		case <-t.C:
 		case <-ctx.Done():
 		}
 		t.Stop()
-		kernel.Sleep(ctx, announceLeast-time.Since(began))
-		news := isClosed(changed) // Also of what came while it slept.
-		// However often changes are passed on: by a round the others are known to live, and
-		// this one's mirror to be complete.
-		if news && g.passedOn(ctx) && !hurried && time.Now().Before(due) {
+		kernel.Sleep(ctx, minAnnounceInterval-time.Since(began))
+		updated := isClosed(changed) // Including changes during the pauses above.
+		// A round is due however often changes are pushed: rounds show that the other gateways
+		// are live and that this gateway's mirror is complete.
+		if updated && g.pushChanges(ctx) && !urgentRound && time.Now().Before(due) {
 			continue
 		}
 		g.round(ctx)
-		due = time.Now().Add(g.every())
+		due = time.Now().Add(g.roundInterval())
 	}
 	return nil
 }
@@ -319,60 +320,61 @@
 	}
 }
 
-// AnnounceWatching tells the first gateways of all halls, while this one watches the platform, that
-// it does: they need not do so themselves then.
+// AnnounceWatching announces, while this gateway watches the platform, that it does to the
+// first gateways of all halls, so that they need not watch themselves.
 func (g *Gossip) AnnounceWatching(ctx context.Context) error {
 	g.init()
 	for ctx.Err() == nil {
 		if g.Follower.Watching() {
 			g.mu.Lock()
-			g.announce(ctx, g.wouldWatch(time.Now()), false)
+			g.announce(ctx, g.watchCandidates(time.Now()), false)
 			g.mu.Unlock()
 		}
-		kernel.Sleep(ctx, leadEvery)
+		kernel.Sleep(ctx, watchAnnounceInterval)
 	}
 	return nil
 }
 
-// every is the time between two announcements without news.
-func (g *Gossip) every() time.Duration {
+// roundInterval returns the time between two announcements without changes.
+func (g *Gossip) roundInterval() time.Duration {
 	if g.Mirror.At() == 0 {
-		return announceLeast // Somebody may know by now.
+		return minAnnounceInterval // Another gateway may have records by now.
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return announceEvery * time.Duration(max(announcedEach, len(g.members))) / announcedEach
+	return announceInterval * time.Duration(max(gatewaysPerInterval, len(g.members))) / gatewaysPerInterval
 }
 
-// round announces to this gateway's neighbours that are not being talked to.
+// round announces this gateway to its neighbours, except those that an announcement is already
+// under way to.
 func (g *Gossip) round(ctx context.Context) *sync.WaitGroup {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.forget(now)
-	g.many.Store(len(g.members) >= tellAll)
-	others := g.rounds%tellsOf == 0
+	g.expireMembers(now)
+	g.manyGateways.Store(len(g.members) >= meshLimit)
+	others := g.rounds%roundsPerKnown == 0
 	g.rounds++
-	to := g.chosen(now)
-	g.tellHeld(ctx, to)
+	to := g.chooseNeighbours(now)
+	g.announceHeld(ctx, to)
 	return g.announce(ctx, to, others)
 }
 
-// announce announces to those of some gateways that are not being talked to. The caller
-// holds g.mu.
+// announce sends an announcement to each of the given gateways that none is under way to. The
+// caller holds g.mu.
 func (g *Gossip) announce(ctx context.Context, to []string, others bool) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for _, addr := range to {
 		m := g.members[addr]
-		if m.talking {
+		if m.announcing {
 			continue
 		}
-		m.talking = true
-		others := others || m.heard.IsZero()
+		m.announcing = true
+		others := others || m.lastHeard.IsZero()
 		wg.Go(func() {
 			g.announceTo(ctx, addr, others)
 			g.mu.Lock()
-			m.talking = false
+			m.announcing = false
 			g.mu.Unlock()
 		})
 	}
@@ -380,16 +382,16 @@
 }
 
 func (g *Gossip) announceTo(ctx context.Context, addr string, others bool) {
-	ctx, cancel := context.WithTimeout(ctx, announceIn)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	c, err := g.Pool.Get(ctx, addr)
 	if err != nil {
 		return
 	}
-	eras := g.spoken.ask(ctx, c)
-	asked := time.Now()
+	eras := g.capabilities.query(ctx, c)
+	requestedAt := time.Now()
 	m, err := c.Call(ctx, g.announcement(addr, others, eras))
 	if a, ok := m.(*Announcement); ok && err == nil {
-		g.heard(a, asked)
+		g.handleAnnouncement(a, requestedAt)
 	}
 }
--- a/internal/peers/held.go
+++ b/internal/peers/held.go
@@ -10,110 +10,110 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// HeldKeys tells of records that the sender holds against what the platform says since it came
-// back from a copy; see mirror.HeldRecord.
+// HeldKeys announces the records that the sender holds against the platform's records since
+// the platform was restored from a copy; see mirror.HeldRecord.
 type HeldKeys struct {
 	From Member
 	Keys []HeldKey
 }
 
-// HeldKey is one of them.
+// HeldKey identifies a held record.
 type HeldKey struct {
 	Key string
-	At  mirror.Position // Of the record.
+	At  mirror.Position // Position of the record.
 }
 
-// HeldRequest asks for records that were told of. It is answered by HeldRecords.
+// HeldRequest requests records that were announced. It is answered by HeldRecords.
 type HeldRequest struct{ Keys []string }
 
-// HeldRecords are records that the sender holds.
+// HeldRecords carries records that the sender holds.
 type HeldRecords struct {
 	Records Records
-	Left    []time.Duration // For how long each is held; 0 until there is news.
+	Left    []time.Duration // How long each record is still held; 0 means until its key changes.
 }
 
-// mostHeld bounds the records that one message tells of.
-const mostHeld = 512
+// maxHeldKeys bounds the records that one message lists.
+const maxHeldKeys = 512
 
-// tellHeld tells some gateways which records are held here.
-func (g *Gossip) tellHeld(ctx context.Context, to []string) {
+// announceHeld announces the records held here to some gateways.
+func (g *Gossip) announceHeld(ctx context.Context, to []string) {
 	held := g.Mirror.HeldRecords()
 	if len(held) == 0 {
 		return
 	}
 	m := &HeldKeys{From: g.Self}
-	for _, h := range held[:min(mostHeld, len(held))] {
+	for _, h := range held[:min(maxHeldKeys, len(held))] {
 		m.Keys = append(m.Keys, HeldKey{h.Key, h.Rev})
 	}
 	for _, addr := range to {
-		go g.tellIfEras(ctx, addr, m)
+		go g.sendIfEras(ctx, addr, m)
 	}
 }
 
-// tellIfEras tells a gateway something, unless its build knows no eras.
-func (g *Gossip) tellIfEras(ctx context.Context, addr string, m any) {
-	ctx, cancel := context.WithTimeout(ctx, announceIn)
+// sendIfEras sends a message to a gateway, unless its build does not support eras.
+func (g *Gossip) sendIfEras(ctx context.Context, addr string, m any) {
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	c, err := g.Pool.Get(ctx, addr)
-	if err == nil && g.spoken.ask(ctx, c) {
-		g.tell(ctx, addr, m)
+	if err == nil && g.capabilities.query(ctx, c) {
+		g.send(ctx, addr, m)
 	}
 }
 
-// serveHeldKeys asks for what may be news here.
+// serveHeldKeys requests the announced records that may be newer than those held here.
 func (g *Gossip) serveHeldKeys(_ context.Context, _ *wire.Stream, m *HeldKeys) {
-	var ask HeldRequest
+	var req HeldRequest
 	for _, k := range m.Keys {
-		if len(ask.Keys) < mostHeld && g.Mirror.NeedsHeld(k.Key, k.At) {
-			ask.Keys = append(ask.Keys, k.Key)
+		if len(req.Keys) < maxHeldKeys && g.Mirror.NeedsHeld(k.Key, k.At) {
+			req.Keys = append(req.Keys, k.Key)
 		}
 	}
-	if len(ask.Keys) == 0 || !g.askingHeld.CompareAndSwap(false, true) {
+	if len(req.Keys) == 0 || !g.requestingHeld.CompareAndSwap(false, true) {
 		return
 	}
-	defer g.askingHeld.Store(false)
-	if err := g.askHeld(m.From.Addr, &ask); err != nil {
+	defer g.requestingHeld.Store(false)
+	if err := g.requestHeld(m.From.Addr, &req); err != nil {
 		telemetry.Log("held_not_told", "peer", m.From.Addr, "reason", fault.CodeOf(err))
 	}
 }
 
-func (g *Gossip) askHeld(addr string, ask *HeldRequest) error {
-	ctx, cancel := context.WithTimeout(g.Pool.Lifetime, pullWithin)
+func (g *Gossip) requestHeld(addr string, req *HeldRequest) error {
+	ctx, cancel := context.WithTimeout(g.Pool.Lifetime, pullTimeout)
 	defer cancel()
 	c, err := g.Pool.Get(ctx, addr)
 	if err != nil {
 		return err
 	}
-	asked := time.Now()
-	m, err := c.Call(ctx, ask)
+	requestedAt := time.Now()
+	m, err := c.Call(ctx, req)
 	if err != nil {
 		return err
 	}
 	r, ok := m.(*HeldRecords)
 	if !ok || len(r.Left) != len(r.Records.Delta.Records) {
-		return fault.New(fault.Garbage, "held records")
+		return fault.New(fault.Garbage, "held records and their times do not match")
 	}
-	r.Records.heardBy(asked)
+	r.Records.setTimes(requestedAt)
 	for i, rec := range r.Records.Delta.Records {
 		h := mirror.HeldRecord{Record: rec}
 		if r.Left[i] > 0 {
-			h.Until = asked.Add(r.Left[i])
+			h.Until = requestedAt.Add(r.Left[i])
 		}
 		g.Mirror.Hold(h, time.Now())
 	}
 	return nil
 }
 
-func (g *Gossip) serveAskHeld(ctx context.Context, s *wire.Stream, m *HeldRequest) {
-	asked := make(map[string]bool, len(m.Keys))
+func (g *Gossip) serveHeldRequest(ctx context.Context, s *wire.Stream, m *HeldRequest) {
+	requested := make(map[string]bool, len(m.Keys))
 	for _, k := range m.Keys {
-		asked[k] = true
+		requested[k] = true
 	}
 	now := time.Now()
 	var d mirror.Delta
 	out := &HeldRecords{}
 	for _, h := range g.Mirror.HeldRecords() {
-		if !asked[h.Key] {
+		if !requested[h.Key] {
 			continue
 		}
 		d.Records = append(d.Records, h.Record)
@@ -123,24 +123,24 @@
 		}
 		out.Left = append(out.Left, left)
 	}
-	out.Records = *records(d, now)
+	out.Records = *newRecords(d, now)
 	_ = s.SendLast(ctx, out)
 }
 
-// LogMirrorEvent writes what a mirror made of a copy.
+// LogMirrorEvent logs how a mirror handled a platform restored from a copy.
 func LogMirrorEvent(n mirror.Event) {
 	switch n.Kind {
 	case mirror.EventNewEra:
 		telemetry.Log("store_returned", "before", n.Known.Rev, "at", n.Published.Rev, "held", n.HeldCount)
 	case mirror.EventHeld:
-		telemetry.Log("record_held", "key", n.Key, "known", n.Known.Rev, "deleted", n.Known.Gone, "copied", n.Published.Rev, "lacks", n.Published.Gone, "for", leftOf(n.Until))
+		telemetry.Log("record_held", "key", n.Key, "known", n.Known.Rev, "deleted", n.Known.Gone, "copied", n.Published.Rev, "lacks", n.Published.Gone, "for", formatHold(n.Until))
 	case mirror.EventReleased:
 		telemetry.Log("record_released", "key", n.Key, "known", n.Known.Rev, "copied", n.Published.Rev, "lacks", n.Published.Gone)
 	}
 }
 
-// leftOf tells for how long something is held.
-func leftOf(until time.Time) string {
+// formatHold formats the time for which a record is still held.
+func formatHold(until time.Time) string {
 	if until.IsZero() {
 		return "until news"
 	}
--- a/internal/peers/heard_test.go
+++ b/internal/peers/late_watch_test.go
@@ -13,20 +13,19 @@
 	"github.com/poststand/poststand/mirror"
 )
 
-// A process that heard nothing for a while, since its connections were silent or it stood
-// still, is told of a change at once when it watches anew. The change may be as old as the
-// silence: by then it was made since the mirror was last known to be the newest, and is
-// not of this moment. Gateways that stood still from just before a naming for 2.5 s took
-// it to be of when they woke, and so did all their agents: 37 requests began on the older
-// version between 8.0 and 9.1 s after the naming was acknowledged.
-func TestWhatALateWatchBringsIsNotOfNow(t *testing.T) {
-	const deaf, change = 3 * time.Second, time.Second
+// A process that received nothing for a while, since its connections were silent or it was
+// paused, gets a missed change at once when it watches again. The change may be as old as the
+// silence and must not be dated by its arrival. Gateways paused for 2.5 s from just before a
+// change of the target version dated it by their resumption, and so did their agents: 37
+// requests began on the older version between 8.0 and 9.1 s after the change was acknowledged.
+func TestChangeFromALateWatchIsNotDatedByItsArrival(t *testing.T) {
+	const silence, change = 3 * time.Second, time.Second
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		began := time.Now()
 		silent := func(ctx context.Context) error {
 			select {
-			case <-time.After(time.Until(began.Add(deaf))): // A keep-alive ends it.
+			case <-time.After(time.Until(began.Add(silence))): // A keep-alive ends it.
 			case <-ctx.Done():
 			}
 			return fault.New(fault.Closed, "silent")
@@ -38,7 +37,7 @@
 				return mirror.Delta{Whole: true, At: 1, Records: []mirror.Record{{Key: "old", Rev: 1}}}, nil
 			},
 			Watch: func(ctx context.Context, since mirror.Position, wait time.Duration) (mirror.Delta, error) {
-				if time.Since(began) < deaf {
+				if time.Since(began) < silence {
 					return mirror.Delta{}, silent(ctx)
 				}
 				if since < 2 {
@@ -51,12 +50,12 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = f.Run(ctx) }()
-		time.Sleep(deaf + time.Second)
+		time.Sleep(silence + time.Second)
 		records, at := m.Records()
 		cancel()
 		synctest.Wait()
-		time.Sleep(time.Minute) // The watch under way is over.
+		time.Sleep(time.Minute) // Lets the last watch end.
 		is.Equal(at, mirror.Position(2))
-		is.True(!records["named"].NotBefore.After(began.Add(change))) // It was made a second into the silence.
+		is.True(!records["named"].NotBefore.After(began.Add(change))) // It was made one second into the silence.
 	})
 }
--- a/internal/peers/limits.go
+++ b/internal/peers/limits.go
@@ -9,54 +9,54 @@
 	"github.com/poststand/poststand/fleet"
 )
 
-// MaxReportedAge bounds the ages that a LimitWord tells.
+// MaxReportedAge bounds the ages in a ReplicaLimit or ReplicaEnd.
 const MaxReportedAge = time.Hour
 
-// ReplicaLimit is what an answer of a replica said of how many requests it takes from all
-// gateways together. Clocks differ, so times travel as ages.
+// ReplicaLimit is the request limit that a replica named in an answer: how many requests it
+// accepts from all gateways together. Clocks differ, so times travel as ages.
 type ReplicaLimit struct {
-	ID        string // Of the replica,
-	Born      int64  // and of its life; see fleet.Incarnation.
+	ID        string // ID of the replica.
+	Born      int64  // Start of the replica's life; see fleet.Incarnation.
 	Named     bool
-	PerSecond float64       // 0 where none is named.
-	AskedAge  time.Duration // The answer was made after this
-	HeardAge  time.Duration // and before this.
+	PerSecond float64       // 0 if no limit is named.
+	AskedAge  time.Duration // Age of the request: the answer was produced after it.
+	HeardAge  time.Duration // Age of the answer's arrival: the answer was produced before it.
 }
 
-// Life returns the life of the replica that the word is of.
-func (w *ReplicaLimit) Life() fleet.Incarnation { return fleet.Incarnation{ID: w.ID, Born: w.Born} }
+// Life returns the incarnation of the replica that the limit belongs to.
+func (l *ReplicaLimit) Life() fleet.Incarnation { return fleet.Incarnation{ID: l.ID, Born: l.Born} }
 
-// Valid reports whether the word can be believed.
-func (w *ReplicaLimit) Valid() bool {
-	return w.ID != "" && w.PerSecond >= 0 && !math.IsInf(w.PerSecond, 1) && w.HeardAge >= 0 && w.AskedAge >= w.HeardAge && w.AskedAge <= MaxReportedAge
+// Valid reports whether the message is plausible: its values are within bounds.
+func (l *ReplicaLimit) Valid() bool {
+	return l.ID != "" && l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 1) && l.HeardAge >= 0 && l.AskedAge >= l.HeardAge && l.AskedAge <= MaxReportedAge
 }
 
-// PermitRequest asks the gateway that keeps a replica's limit for the right to send one request. It
-// is answered by a Permit.
+// PermitRequest requests permission to send one request from the gateway that enforces a
+// replica's limit. It is answered by a Permit.
 type PermitRequest struct {
-	Word ReplicaLimit // As far as the sender knows.
-	Rank int          // Of the request; 0 is the most urgent.
+	Word ReplicaLimit // The limit as known to the sender.
+	Rank int          // Priority of the request; 0 is the most urgent.
 }
 
-// Permit answers an AskPermit.
+// Permit answers a PermitRequest.
 type Permit struct {
-	Word   ReplicaLimit // As far as the limiter knows.
+	Word   ReplicaLimit // The limit as known to the limiter.
 	Given  bool
-	NextIn time.Duration // Until one may be free, where none is given.
-	// NotLimiter says that the gateway does not keep the limit, as far as it knows.
+	NextIn time.Duration // Time until a permit may be available, if none is granted.
+	// NotLimiter reports that this gateway does not enforce the limit, as far as it knows.
 	NotLimiter bool
 }
 
-// ReplicaLimits tells what replicas said.
+// ReplicaLimits reports limits that replicas have named.
 type ReplicaLimits struct{ Words []ReplicaLimit }
 
-// RequestPermit asks the gateway at an address for a permit.
-func (g *Gossip) RequestPermit(ctx context.Context, addr string, ask *PermitRequest) (*Permit, error) {
+// RequestPermit requests a permit from the gateway at an address.
+func (g *Gossip) RequestPermit(ctx context.Context, addr string, req *PermitRequest) (*Permit, error) {
 	c, err := g.Pool.Get(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	m, err := c.Call(ctx, ask)
+	m, err := c.Call(ctx, req)
 	if err != nil {
 		return nil, err
 	}
@@ -67,15 +67,14 @@
 	return p, nil
 }
 
-// SendLimits tells the gateway at an address what replicas said. Nothing shows whether it
-// arrives.
-func (g *Gossip) SendLimits(ctx context.Context, addr string, words []ReplicaLimit) {
-	g.tell(ctx, addr, &ReplicaLimits{words})
+// SendLimits sends limits of replicas to the gateway at an address. Delivery is not confirmed.
+func (g *Gossip) SendLimits(ctx context.Context, addr string, limits []ReplicaLimit) {
+	g.send(ctx, addr, &ReplicaLimits{limits})
 }
 
-// tell sends a message that is not answered.
-func (g *Gossip) tell(ctx context.Context, addr string, m any) {
-	ctx, cancel := context.WithTimeout(ctx, announceIn)
+// send sends a message that has no answer.
+func (g *Gossip) send(ctx context.Context, addr string, m any) {
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	c, err := g.Pool.Get(ctx, addr)
 	if err != nil {
--- a/internal/peers/message.go
+++ b/internal/peers/message.go
@@ -8,161 +8,160 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Member is a gateway.
+// Member identifies a gateway.
 type Member struct {
 	Name string
 	Addr string // IP and port for other processes.
 	Hall string
 }
 
-// Announcement says who is there and what it knows. It is answered by another one.
+// Announcement identifies a gateway and the state of its mirror. It is answered by the
+// receiver's own.
 type Announcement struct {
 	From  Member
-	At    mirror.Position // The sender holds every published change up to it.
-	Known []KnownMember   // Some of the gateways that the sender heard of lately; in some announcements only.
-	// Watching says that the sender watches the platform itself and is answered.
+	At    mirror.Position // The sender has every published change up to this position.
+	Known []KnownMember   // Some of the gateways seen recently by the sender; only in some announcements.
+	// Watching reports that the sender watches the platform itself, and its watch is answered.
 	Watching bool
-	// CurrentAge is how long ago At was last known to be the newest revision, by whatever
-	// the sender has heard.
+	// CurrentAge is how long ago At was last known to be the newest position, directly or from
+	// peers.
 	CurrentAge time.Duration
-	// CompleteAge is how long ago at the most the sender still lacked something; see
-	// Follower.CompleteAsOf.
+	// CompleteAge is the age of Follower.CompleteAsOf: the sender lacks no change that is
+	// older.
 	CompleteAge time.Duration
-	ChangeAges  []ChangeAge // Of late changes that times are counted from.
-	// Suspects are requests under which replicas ended, as far as the receiver may not know
-	// of them.
+	ChangeAges  []ChangeAge // Ages of recent changes, for time limits that start with a change.
+	// Suspects are requests during which replicas ended that the receiver may not know of.
 	Suspects       []quarantine.Report
 	SuspectsDigest uint64 // See quarantine.Table.Digest.
 }
 
-// ChangeAge is how long ago, at the most, a change was made.
+// ChangeAge is the greatest possible age of a change.
 type ChangeAge struct {
 	Key    string
 	Rev    mirror.Position
-	Age    time.Duration // Of the change itself,
-	GapAge time.Duration // and of any before it that the sender has not seen: read by builds that took it for any that they had not seen.
+	Age    time.Duration // Age of the change itself.
+	GapAge time.Duration // Age of any earlier change that the sender has not seen. Only older builds read it, and apply it to any change that they have not seen.
 }
 
-// KnownMember is a gateway that somebody heard of.
+// KnownMember is a gateway that the sender has seen, directly or through others.
 type KnownMember struct {
 	Member
-	Age      time.Duration // Since the last sign of it, when the message was sent.
-	Watching bool          // By that sign.
+	Age      time.Duration // Time since its last sign of life, when the message was sent.
+	Watching bool          // It watched the platform at that time.
 }
 
-// Pull asks for what was published after a position.
+// Pull requests the changes after a position.
 type Pull struct{ Since mirror.Position }
 
-// Records answers a Pull, or passes changes on unasked.
+// Records answers a Pull, or pushes changes unsolicited.
 type Records struct {
 	Delta mirror.Delta
-	// Ages tells of each record of Delta how long ago its change may have been made
-	// at the most. Clocks differ, so times travel as ages.
+	// Ages are the greatest possible ages of the changes in Delta, one for each record. Clocks
+	// differ, so times travel as ages.
 	Ages []time.Duration
-	// Histories are of those records of Delta that remember the changes before them.
+	// Histories belong to those records of Delta that have earlier changes.
 	Histories []History
-	// Onward asks a receiver in another hall to pass the changes on within its own.
+	// Onward requests that a receiver in another hall forwards the changes within its own.
 	Onward bool
 }
 
-// History tells of a record how long ago, at the most, changes before it may have been made.
+// History holds the greatest possible ages of the changes before a record.
 type History struct {
-	Record      int             // Its place in Delta.
-	GapAges     []time.Duration // Of any change that the sender has not seen: before each of Earlier, and last before the record.
-	EarlierAges []time.Duration // Of each of the record's Earlier.
+	Record      int             // Index in Delta.Records.
+	GapAges     []time.Duration // Ages of any changes that the sender has not seen: one before each of Earlier, and the last before the record.
+	EarlierAges []time.Duration // One age for each of the record's Earlier.
 }
 
-// Subscribe asks for what concerns the replicas of a service: an Assignment now,
-// and another at each change.
+// Subscribe requests the Assignment for a replica of a service: one now, and another at each
+// change.
 type Subscribe struct {
 	Service string
-	Addr    string // Of the replica that the agent looks after.
-	// Quarantined are requests that gateways have told the agent of. If all gateways are
-	// killed at once, those that start know of them by agents alone.
+	Addr    string // Address of the agent's replica.
+	// Quarantined are the requests whose quarantine gateways have sent to the agent. If all
+	// gateways are killed at once, those that start learn the quarantine from agents alone.
 	Quarantined []quarantine.Report
 }
 
-// Replica is a replica of the same service.
+// Replica describes a replica of the same service.
 type Replica struct {
 	Addr    string // IP and port for requests; its agent is at the same IP.
 	Hall    string
-	Version uint64 // That it was last known to hold whole.
+	Version uint64 // The version that it was last known to have complete.
 	Leaving bool
 }
 
-// Step is one naming of a version. Clocks differ, so it travels as an age.
+// Step is one change of the target version. Clocks differ, so its time travels as an age.
 type Step struct {
-	Named   time.Time `msgpack:"-"` // By the sender's clock.
+	Named   time.Time `msgpack:"-"` // Time of the change by the sender's clock.
 	Version uint64
-	Age     time.Duration // By the sender's clock, when it sent the message.
+	Age     time.Duration // Age by the sender's clock, when it sent the message.
 }
 
-// Assignment is all that an agent needs to know.
+// Assignment is the configuration and state that the agent of a replica works from.
 type Assignment struct {
-	At           mirror.Position // Of the published records.
+	At           mirror.Position // Position of the published records.
 	Model        string
-	Version      uint64  // To be brought to the replica.
-	Steps        []Step  // How it came to be named, the oldest first.
+	Version      uint64  // The version to load.
+	Steps        []Step  // Changes of the target version that led to Version, the oldest first.
 	Origin       string  // IP and port of the origin of weights.
-	OriginRate   float64 // Bytes a second of the origin's link.
-	VersionBytes int     // Of a whole version.
+	OriginRate   float64 // Rate of the origin's link in bytes a second.
+	VersionBytes int     // Size of a complete version.
 	Replicas     []Replica
-	Gateways     []Member            // That the agent may ask, and tell how its replica stands.
-	Quarantined  []quarantine.Report // To be kept for gateways that start.
-	// ReportTargets is how many of Gateways the agent tells: the first ones that answer. Zero
-	// is all.
+	Gateways     []Member            // Gateways that the agent may subscribe to and report to.
+	Quarantined  []quarantine.Report // Kept for gateways that start later.
+	// ReportTargets is how many of Gateways the agent reports to: the first ones that answer.
+	// Zero is all of them.
 	ReportTargets int
 }
 
-// Status is how a replica stands, told by its agent.
+// Status is the state of a replica, reported by its agent.
 type Status struct {
-	Addr    string // Of the replica.
+	Addr    string // Address of the replica.
 	Hall    string
 	Model   string
-	Version uint64 // That it holds whole; 0 for none.
-	// Changing says that the replica is about to take another version and should
-	// be given nothing that is new.
+	Version uint64 // The version that it has complete; 0 for none.
+	// Changing reports that the replica is about to load another version and should get no new
+	// requests.
 	Changing bool
-	// ChangeIn is how long until then, or 0 where it is not known: what is given to
-	// the replica should have ended by then.
+	// ChangeIn is the time until then, or 0 if it is not known: requests sent to the replica
+	// should end by then.
 	ChangeIn      time.Duration
 	Reached       bool // The replica answered its agent.
 	Queued        int
 	Running       int
-	UsedTokens    int     // Tokens of contexts in its memory,
-	TotalTokens   int     // and how many fit.
-	Pace          float64 // Above 1 it works slower than it should.
-	SlowLink      bool    // The box's link has been slower than it should be of late.
-	MissingChunks int     // Pieces of the assigned version that are not here yet.
-	Forward       bool    // The agent tells only a few gateways: this one is to tell the others.
+	UsedTokens    int     // Context tokens in the replica's memory.
+	TotalTokens   int     // Context tokens that fit into the replica's memory.
+	Pace          float64 // Above 1, the replica is slower than expected.
+	SlowLink      bool    // The box's link has recently been slower than expected.
+	MissingChunks int     // Chunks of the assigned version that are not loaded yet.
+	Forward       bool    // The agent reports to a few gateways only: the receiver forwards the status to the others.
 }
 
-// OnlyLoadDiffers reports whether two statuses differ in nothing but how much the
-// replica has to do.
+// OnlyLoadDiffers reports whether two statuses differ in nothing but the replica's load.
 func (s *Status) OnlyLoadDiffers(o *Status) bool {
 	return s.Version == o.Version && s.Changing == o.Changing && s.Reached == o.Reached && s.SlowLink == o.SlowLink && (s.ChangeIn == 0) == (o.ChangeIn == 0)
 }
 
-// Report is how a replica stood when its agent told a gateway of it.
+// Report is the status of a replica as last reported to the sending gateway by its agent.
 type Report struct {
 	Addr            string
 	Version         uint64
 	Changing        bool
-	ChangeIn        time.Duration // From when the message was sent, or 0 where it is not known.
+	ChangeIn        time.Duration // Counted from when the message was sent; 0 if not known.
 	Queued          int
 	Running         int
 	Pace            float64
-	FetchingWeights bool // Weights are on their way to its box.
+	FetchingWeights bool // Weights are being transferred to its box.
 	SlowLink        bool
-	Age             time.Duration // Since the agent told, when the message was sent.
+	Age             time.Duration // Time since the agent's report, when the message was sent.
 }
 
-// Reports passes on how replicas stand, from a gateway that their agents tell to one
+// Reports forwards the state of replicas from a gateway that their agents report to, to one
 // that they do not.
 type Reports struct {
 	Replicas []Report
-	// ForwardInHall says that the replicas are of another hall, and that the receiver is to
-	// tell the gateways of its own hall of them.
+	// ForwardInHall reports that the replicas are of another hall, and that the receiver
+	// forwards the reports to the gateways of its own hall.
 	ForwardInHall bool
 }
 
--- a/internal/peers/neighbours.go
+++ b/internal/peers/neighbours.go
@@ -9,28 +9,28 @@
 	"github.com/poststand/poststand/rendezvous"
 )
 
-// forget notes gateways that have fallen silent, and drops those of which nobody
-// has heard for long. The caller holds g.mu.
-func (g *Gossip) forget(now time.Time) {
+// expireMembers logs gateways that have fallen silent, and drops those not seen or listed for
+// long. The caller holds g.mu.
+func (g *Gossip) expireMembers(now time.Time) {
 	for addr, m := range g.members {
-		live := g.fresh(m, now)
+		live := g.isLive(m, now)
 		if m.live && !live {
-			telemetry.Log("peer_lost", "peer", m.Name, "addr", addr, "hall", m.Hall, "silent", now.Sub(m.heard))
+			telemetry.Log("peer_lost", "peer", m.Name, "addr", addr, "hall", m.Hall, "silent", now.Sub(m.lastHeard))
 		}
 		m.live = m.live && live
-		if now.Sub(m.heard) > forgetAfter && now.Sub(m.named) > forgetAfter && !slices.Contains(g.Join, addr) {
+		if now.Sub(m.lastHeard) > forgetAfter && now.Sub(m.lastNamed) > forgetAfter && !slices.Contains(g.Join, addr) {
 			delete(g.members, addr)
 		}
 	}
 }
 
-// chosen returns whom to announce to: all of a few, else the first ones in this
-// gateway's own order, and one of the others at random, so that halves that have
-// lost each other find together. The caller holds g.mu.
-func (g *Gossip) chosen(now time.Time) []string {
+// chooseNeighbours returns the gateways to announce to: all of them if they are few, otherwise
+// the first ones in this gateway's own order and one of the others at random, so that groups
+// that have lost contact merge again. The caller holds g.mu.
+func (g *Gossip) chooseNeighbours(now time.Time) []string {
 	var live, others []string
 	for addr, m := range g.members {
-		if g.fresh(m, now) {
+		if g.isLive(m, now) {
 			live = append(live, addr)
 		} else {
 			others = append(others, addr)
@@ -39,10 +39,10 @@
 	if len(live)+len(others) <= neighbours {
 		return append(live, others...)
 	}
-	out, left := g.nearFirst(rendezvous.Rank("gossip/"+g.Self.Addr, live))
+	out, left := g.splitNeighbours(rendezvous.Rank("gossip/"+g.Self.Addr, live))
 	rest := append(others, left...)
 	if len(out) < neighbours/2 {
-		return append(out, rest...) // Hardly anybody answers; everybody is asked.
+		return append(out, rest...) // Most gateways are silent, so all are tried.
 	}
 	if len(rest) > 0 {
 		out = append(out, rest[rand.IntN(len(rest))])
@@ -50,14 +50,14 @@
 	return out
 }
 
-// nearFirst splits ranked gateways into this one's neighbours, most of them of its
-// own hall, and the others. The caller holds g.mu.
-func (g *Gossip) nearFirst(ranked []string) (chosen, rest []string) {
-	here, there := inHall, neighbours-inHall
+// splitNeighbours splits ranked gateways into this one's neighbours, most of them of its own
+// hall, and the rest. The caller holds g.mu.
+func (g *Gossip) splitNeighbours(ranked []string) (chosen, rest []string) {
+	local, remote := localNeighbours, neighbours-localNeighbours
 	for _, addr := range ranked {
-		left := &there
+		left := &remote
 		if g.members[addr].Hall == g.Self.Hall {
-			left = &here
+			left = &local
 		}
 		if *left > 0 {
 			*left--
@@ -69,116 +69,117 @@
 	return chosen, rest
 }
 
-// ShouldWatch reports whether this gateway is to watch the platform itself: it is among the
-// first of its hall in an order that all share, none before it says that it does, and
-// no gateway of a hall that goes before this one was heard of late that does. Others
-// learn of changes from those that watch. Halls that are cut off from each other each
-// have one that watches.
+// ShouldWatch reports whether this gateway should watch the platform itself: it ranks among
+// the first of its hall in an order that all share, none that ranks before it announces that
+// it watches, and neither does a gateway of a hall that ranks before this one. The other
+// gateways receive changes from those that watch. Each hall that is cut off from the others
+// has a gateway that watches.
 func (g *Gossip) ShouldWatch() bool {
 	g.init()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	if g.led(now) {
+	if g.precedingHallWatches(now) {
 		return false
 	}
-	for i, addr := range g.hallOrder(g.Self.Hall, now) {
+	for i, addr := range g.watchOrder(g.Self.Hall, now) {
 		switch {
 		case addr == g.Self.Addr:
-			return i < watchers
-		case g.members[addr].saysItWatches(now):
+			return i < watchersPerHall
+		case g.members[addr].watchingRecently(now):
 			return false
 		}
 	}
 	return true
 }
 
-// led reports whether a gateway of a hall that goes before this one watches the
-// platform. The caller holds g.mu.
-func (g *Gossip) led(now time.Time) bool {
-	own := rendezvous.Score(hallKey, g.Self.Hall)
+// precedingHallWatches reports whether a gateway of a hall that ranks before this one watches
+// the platform. The caller holds g.mu.
+func (g *Gossip) precedingHallWatches(now time.Time) bool {
+	score := rendezvous.Score(hallKey, g.Self.Hall)
 	for _, m := range g.members {
-		if m.saysItWatches(now) && rendezvous.Score(hallKey, m.Hall) > own {
+		if m.watchingRecently(now) && rendezvous.Score(hallKey, m.Hall) > score {
 			return true
 		}
 	}
 	return false
 }
 
-// Standby reports whether this gateway is among the first of its hall: it would watch the
+// Standby reports whether this gateway ranks among the first of its hall: it would watch the
 // platform if the gateway that does were lost.
 func (g *Gossip) Standby() bool {
 	g.init()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.place(time.Now()) < watchers
+	return g.hallRank(time.Now()) < watchersPerHall
 }
 
-// saysItWatches reports whether a gateway was heard of late that watches the platform:
-// one that does so says it often to those who would else do it.
-func (m *member) saysItWatches(now time.Time) bool {
-	return m.watches && now.Sub(m.heard) < leadFor
+// watchingRecently reports whether a gateway has recently announced that it watches the
+// platform. Such a gateway announces it often to those that would watch in its place.
+func (m *member) watchingRecently(now time.Time) bool {
+	return m.watching && now.Sub(m.lastHeard) < watchTimeout
 }
 
-// hallKey orders halls: the one with the highest score goes first.
+// hallKey is the key by which halls are ranked: the highest score ranks first.
 const hallKey = "watch/hall"
 
-// hallOrder returns the live gateways of a hall, this one among them if it is its own, in
-// the order in which they are to watch the platform. The caller holds g.mu.
-func (g *Gossip) hallOrder(hall string, now time.Time) []string {
+// watchOrder returns the live gateways of a hall, including this one if it is its own, in the
+// order in which they watch the platform. The caller holds g.mu.
+func (g *Gossip) watchOrder(hall string, now time.Time) []string {
 	var out []string
 	if hall == g.Self.Hall {
 		out = append(out, g.Self.Addr)
 	}
 	for addr, m := range g.members {
-		if m.Hall == hall && g.fresh(m, now) {
+		if m.Hall == hall && g.isLive(m, now) {
 			out = append(out, addr)
 		}
 	}
 	return rendezvous.Rank("watch", out)
 }
 
-// place returns how many gateways of its hall go before this one. The caller holds g.mu.
-func (g *Gossip) place(now time.Time) int {
-	return slices.Index(g.hallOrder(g.Self.Hall, now), g.Self.Addr)
+// hallRank returns how many gateways of its hall rank before this one. The caller holds g.mu.
+func (g *Gossip) hallRank(now time.Time) int {
+	return slices.Index(g.watchOrder(g.Self.Hall, now), g.Self.Addr)
 }
 
-// Waits of a gateway whose place in the platform's changes is lost, while another one is to
-// read all records and tell it of them.
+// Delays before a gateway reads all records after its position was lost, in which a gateway
+// that ranks before it reads them and sends the changes.
 const (
-	yieldToHall    = 150 * time.Millisecond // For each hall whose gateways read before those of this one,
-	yieldToGateway = 300 * time.Millisecond // and for each gateway of this hall that does.
-	yieldMost      = 3                      // No more than so many of each are waited for.
+	hallReadDelay     = 150 * time.Millisecond // Delay for each hall that ranks before this one.
+	gatewayReadDelay  = 300 * time.Millisecond // Delay for each gateway of this hall that ranks before this one.
+	maxReadDelaySteps = 3                      // At most this many halls and gateways count.
 )
 
-// ReadDelay returns for how long this gateway waits to be told before it reads all records.
+// ReadDelay returns how long this gateway waits for changes from others before it reads all
+// records.
 func (g *Gossip) ReadDelay() time.Duration {
 	g.init()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	before := 0
-	own := rendezvous.Score(hallKey, g.Self.Hall)
+	score := rendezvous.Score(hallKey, g.Self.Hall)
 	for _, hall := range g.halls() {
-		if len(g.hallOrder(hall, now)) > 0 && rendezvous.Score(hallKey, hall) > own {
+		if len(g.watchOrder(hall, now)) > 0 && rendezvous.Score(hallKey, hall) > score {
 			before++
 		}
 	}
-	return time.Duration(min(yieldMost, before))*yieldToHall + time.Duration(min(yieldMost, g.place(now)))*yieldToGateway
+	return time.Duration(min(maxReadDelaySteps, before))*hallReadDelay + time.Duration(min(maxReadDelaySteps, g.hallRank(now)))*gatewayReadDelay
 }
 
-// wouldWatch returns the gateways that would watch the platform if this one did not: the
+// watchCandidates returns the gateways that would watch the platform if this one did not: the
 // first ones of each hall. The caller holds g.mu.
-func (g *Gossip) wouldWatch(now time.Time) []string {
+func (g *Gossip) watchCandidates(now time.Time) []string {
 	var out []string
 	for _, hall := range g.halls() {
-		order := slices.DeleteFunc(g.hallOrder(hall, now), func(addr string) bool { return addr == g.Self.Addr })
-		out = append(out, order[:min(watchers, len(order))]...)
+		order := slices.DeleteFunc(g.watchOrder(hall, now), func(addr string) bool { return addr == g.Self.Addr })
+		out = append(out, order[:min(watchersPerHall, len(order))]...)
 	}
 	return out
 }
 
-// halls returns the halls of all gateways, in no order. The caller holds g.mu.
+// halls returns the halls of all gateways, in random order. The caller holds g.mu.
 func (g *Gossip) halls() []string {
 	seen := map[string]bool{g.Self.Hall: true}
 	out := []string{g.Self.Hall}
@@ -191,12 +192,12 @@
 	return out
 }
 
-// firstOf returns the first gateway of another hall: of those that answered of late, if
-// there is one. The caller holds g.mu.
-func (g *Gossip) firstOf(hall string, now time.Time) (string, bool) {
-	order := g.hallOrder(hall, now)
+// firstInHall returns the first gateway of another hall, preferring those seen recently. The
+// caller holds g.mu.
+func (g *Gossip) firstInHall(hall string, now time.Time) (string, bool) {
+	order := g.watchOrder(hall, now)
 	for _, addr := range order {
-		if now.Sub(g.members[addr].heard) < leadFor {
+		if now.Sub(g.members[addr].lastHeard) < watchTimeout {
 			return addr, true
 		}
 	}
--- a/internal/peers/pull.go
+++ b/internal/peers/pull.go
@@ -11,23 +11,24 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// toldHere reports whether a gateway of this hall is to tell this one of changes: the
-// first one of the hall, which learns of them before the others. The caller holds g.mu.
-func (g *Gossip) toldHere(now time.Time) bool {
+// hasLocalSource reports whether a gateway of this hall should send changes to this one: the
+// first of the hall, which receives them before the others. The caller holds g.mu.
+func (g *Gossip) hasLocalSource(now time.Time) bool {
 	if g.Mirror.At() == 0 {
 		return false
 	}
-	return g.place(now) > 0
+	return g.hallRank(now) > 0
 }
 
-// pullLater asks a gateway of another hall, unless what it knows has come from this
-// hall meanwhile: bytes between halls are few, and the same for all of them.
-func (g *Gossip) pullLater(addr string) {
-	kernel.Sleep(g.Pool.Lifetime, pullAcross)
+// pullAfterDelay pulls from a gateway of another hall, unless its changes have meanwhile
+// arrived from this hall: links between halls are slow, and all gateways of a hall need the
+// same bytes.
+func (g *Gossip) pullAfterDelay(addr string) {
+	kernel.Sleep(g.Pool.Lifetime, crossHallPullDelay)
 	g.mu.Lock()
 	m := g.members[addr]
 	behind := m != nil && m.at > g.Mirror.At() && !g.pulling
-	g.waiting = false
+	g.pullDelayed = false
 	g.pulling = g.pulling || behind
 	g.mu.Unlock()
 	if behind {
@@ -35,31 +36,32 @@
 	}
 }
 
-// answerPull answers a Pull. One that knows no eras asks for what followed a revision of this one.
+// answerPull answers a Pull. The position of a build that does not support eras is taken as a
+// revision of the current era.
 func (g *Gossip) answerPull(c *wire.Conn, m *Pull) *Records {
 	now := time.Now()
-	eras, _ := g.spoken.knows(c)
+	eras, _ := g.capabilities.load(c)
 	if eras {
-		return records(g.Mirror.Since(m.Since), now)
+		return newRecords(g.Mirror.Since(m.Since), now)
 	}
 	since := m.Since
 	if since > 0 {
 		since = mirror.NewPosition(g.Mirror.At().Era(), since.Revision())
 	}
-	return records(deltaWithoutEra(g.Mirror.Since(since)), now)
+	return newRecords(deltaWithoutEra(g.Mirror.Since(since)), now)
 }
 
-// pull asks a gateway for what this one lacks, unless the platform has told it
-// meanwhile.
+// pull requests the changes that this gateway lacks from another one, unless the platform has
+// sent them meanwhile.
 func (g *Gossip) pull(addr string) {
 	defer func() {
 		g.mu.Lock()
 		g.pulling = false
 		g.mu.Unlock()
 	}()
-	life := g.Pool.Lifetime
+	lifetime := g.Pool.Lifetime
 	if g.Mirror.At() > 0 && g.Follower.Watching() {
-		kernel.Sleep(life, pullAfter)
+		kernel.Sleep(lifetime, pullDelay)
 	}
 	g.mu.Lock()
 	at := mirror.Position(0)
@@ -71,23 +73,23 @@
 	if since >= at {
 		return
 	}
-	ctx, cancel := context.WithTimeout(life, pullWithin)
+	ctx, cancel := context.WithTimeout(lifetime, pullTimeout)
 	defer cancel()
 	c, err := g.Pool.Get(ctx, addr)
 	if err != nil {
 		return
 	}
-	asked := time.Now()
+	requestedAt := time.Now()
 	m, err := c.Call(ctx, &Pull{Since: since})
 	r, ok := m.(*Records)
 	if err != nil || !ok {
 		telemetry.Log("pull_failed", "peer", addr, "since", since, "reason", fault.CodeOf(err))
 		return
 	}
-	r.heardBy(asked)
+	r.setTimes(requestedAt)
 	g.mu.Lock()
-	g.pulledAt = max(g.pulledAt, r.Delta.At) // Before it is applied: that wakes the one who announces.
+	g.pulledAt = max(g.pulledAt, r.Delta.At) // Before Apply, which wakes the goroutine that announces.
 	g.mu.Unlock()
-	taken := g.Mirror.Apply(g.Follower.dated(r.Delta))
-	telemetry.Log("pulled", "peer", addr, "since", since, "at", r.Delta.At, "whole", r.Delta.Whole, "records", len(r.Delta.Records), "taken", taken)
+	applied := g.Mirror.Apply(g.Follower.withLowerBounds(r.Delta))
+	telemetry.Log("pulled", "peer", addr, "since", since, "at", r.Delta.At, "whole", r.Delta.Whole, "records", len(r.Delta.Records), "taken", applied)
 }
--- a/internal/peers/push.go
+++ b/internal/peers/push.go
@@ -8,126 +8,127 @@
 	"github.com/poststand/poststand/mirror"
 )
 
-// pushed is a position up to which changes were passed on to the hall, and when.
-type pushed struct {
-	at   mirror.Position
-	when time.Time
+// pushMark is a position up to which changes were pushed to the hall, and the time of that.
+type pushMark struct {
+	at     mirror.Position
+	sentAt time.Time
 }
 
-// passedOn reports whether what has just changed need not be announced. A gateway that
-// has it from the platform sends a small change to all of its hall and to one gateway of
-// each other hall, which does the same there; one that was sent it has nobody to tell.
-// What a gateway had to ask for it announces, since others may lack it too.
-func (g *Gossip) passedOn(ctx context.Context) bool {
-	at := g.Mirror.At() // Before the others: what they say of later revisions is for the next time.
-	tookAt := g.Follower.PlatformPosition()
+// pushChanges pushes the latest changes, and reports whether they need not be announced. A
+// gateway that received a small change from the platform sends it to its whole hall and to one
+// gateway of each other hall, which forwards it there; a gateway that it was pushed to sends
+// it to nobody. Changes that a gateway had to pull are announced, since others may lack them
+// too.
+func (g *Gossip) pushChanges(ctx context.Context) bool {
+	at := g.Mirror.At() // Read before the others: later positions are left to the next call.
+	platformAt := g.Follower.PlatformPosition()
 	g.mu.Lock()
-	pulled, took, onward := g.pulledAt > g.handledAt, tookAt > g.handledAt, g.onwardAt > g.handledAt
+	pulled, fromPlatform, forward := g.pulledAt > g.handledAt, platformAt > g.handledAt, g.forwardAt > g.handledAt
 	g.handledAt = at
 	g.mu.Unlock()
 	switch {
 	case pulled:
 		return false
-	case took:
+	case fromPlatform:
 		return g.push(ctx, true)
-	case onward:
+	case forward:
 		return g.push(ctx, false)
 	}
 	return true
 }
 
-// push sends what changed of late to each gateway of the hall, and if afar is set to one
-// of each other hall. It reports whether it did: a large change is not sent, since this
-// gateway's link would carry all copies.
-func (g *Gossip) push(ctx context.Context, afar bool) bool {
+// push sends the recent changes to each gateway of the hall and, if remote is set, to one of
+// each other hall. It reports whether it did: a large change is not sent, since all copies
+// would go over this gateway's link.
+func (g *Gossip) push(ctx context.Context, remote bool) bool {
 	now := time.Now()
 	since := g.pushSince(now)
 	if since == 0 {
 		return false
 	}
 	d := g.Mirror.Since(since)
-	most := pushMost
+	limit := maxPushBytes
 	if d.Whole {
-		most = pushWhole
+		limit = maxFullPushBytes
 	}
-	if d.Bytes() > most {
+	if d.Bytes() > limit {
 		return false
 	}
-	here, there := g.pushTargets(now)
-	if !afar {
-		there = nil
+	local, others := g.pushTargets(now)
+	if !remote {
+		others = nil
 	}
-	for _, addr := range here {
+	for _, addr := range local {
 		go g.pushTo(ctx, addr, d, false)
 	}
-	for _, addr := range there {
+	for _, addr := range others {
 		go g.pushTo(ctx, addr, d, true)
 	}
-	telemetry.Log("pushed", "since", since, "at", d.At, "whole", d.Whole, "records", len(d.Records), "bytes", d.Bytes(), "here", len(here), "elsewhere", len(there))
+	telemetry.Log("pushed", "since", since, "at", d.At, "whole", d.Whole, "records", len(d.Records), "bytes", d.Bytes(), "here", len(local), "elsewhere", len(others))
 	return true
 }
 
-// pushTargets returns the other gateways of this hall, and one of each other.
-func (g *Gossip) pushTargets(now time.Time) (here, there []string) {
+// pushTargets returns the other gateways of this hall, and one of each other hall.
+func (g *Gossip) pushTargets(now time.Time) (local, remote []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for addr, e := range g.members {
-		if e.Hall == g.Self.Hall && g.fresh(e, now) {
-			here = append(here, addr)
+		if e.Hall == g.Self.Hall && g.isLive(e, now) {
+			local = append(local, addr)
 		}
 	}
 	for _, hall := range g.halls() {
 		if hall == g.Self.Hall {
 			continue
 		}
-		if addr, ok := g.firstOf(hall, now); ok {
-			there = append(there, addr)
+		if addr, ok := g.firstInHall(hall, now); ok {
+			remote = append(remote, addr)
 		}
 	}
-	return here, there
+	return local, remote
 }
 
-// pushSince returns from which revision on changes are passed on, and notes the one of
-// now. It is zero until there was one before.
+// pushSince returns the position from which changes are pushed, and records the current one.
+// It is zero until one has been recorded before.
 func (g *Gossip) pushSince(now time.Time) mirror.Position {
 	at := g.Mirror.At()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pushes = append(g.pushes, pushed{at, now})
-	for len(g.pushes) > 2 && now.Sub(g.pushes[1].when) > pushBack {
-		g.pushes = g.pushes[1:]
+	g.pushMarks = append(g.pushMarks, pushMark{at, now})
+	for len(g.pushMarks) > 2 && now.Sub(g.pushMarks[1].sentAt) > pushLookback {
+		g.pushMarks = g.pushMarks[1:]
 	}
-	if len(g.pushes) < 2 {
+	if len(g.pushMarks) < 2 {
 		return 0
 	}
-	return g.pushes[0].at
+	return g.pushMarks[0].at
 }
 
-func (g *Gossip) pushTo(ctx context.Context, addr string, d mirror.Delta, onward bool) {
-	ctx, cancel := context.WithTimeout(ctx, announceIn)
+func (g *Gossip) pushTo(ctx context.Context, addr string, d mirror.Delta, forward bool) {
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	c, err := g.Pool.Get(ctx, addr)
 	if err != nil {
 		return
 	}
-	if !g.spoken.ask(ctx, c) {
+	if !g.capabilities.query(ctx, c) {
 		d = deltaWithoutEra(d)
 	}
-	m := records(d, time.Now())
-	m.Onward = onward
-	g.tell(ctx, addr, m) // Announcements make up for one that is lost.
+	m := newRecords(d, time.Now())
+	m.Onward = forward
+	g.send(ctx, addr, m) // Announcements make up for a lost push.
 }
 
-// takePush takes changes that another gateway passed on.
-func (g *Gossip) takePush(r *Records) {
-	had := g.Mirror.At()
-	r.undated()
+// handlePush applies changes that another gateway pushed.
+func (g *Gossip) handlePush(r *Records) {
+	prev := g.Mirror.At()
+	r.dropHistory()
 	g.mu.Lock()
 	if r.Onward {
-		g.onwardAt = max(g.onwardAt, r.Delta.At) // Before it is applied: that wakes the one who passes on.
+		g.forwardAt = max(g.forwardAt, r.Delta.At) // Before Apply, which wakes the goroutine that forwards changes.
 	}
 	g.mu.Unlock()
-	if taken := g.Mirror.Apply(g.Follower.dated(r.Delta)); !taken || r.Delta.At > had {
-		telemetry.Log("push_received", "had", had, "since", r.Delta.Base, "at", r.Delta.At, "records", len(r.Delta.Records), "taken", taken, "onward", r.Onward)
+	if applied := g.Mirror.Apply(g.Follower.withLowerBounds(r.Delta)); !applied || r.Delta.At > prev {
+		telemetry.Log("push_received", "had", prev, "since", r.Delta.Base, "at", r.Delta.At, "records", len(r.Delta.Records), "taken", applied, "onward", r.Onward)
 	}
 }
--- a/internal/peers/records.go
+++ b/internal/peers/records.go
@@ -6,8 +6,8 @@
 	"github.com/poststand/poststand/mirror"
 )
 
-// records adds to a delta how old its records are.
-func records(d mirror.Delta, now time.Time) *Records {
+// newRecords returns a delta with the ages of its records.
+func newRecords(d mirror.Delta, now time.Time) *Records {
 	r := &Records{Delta: d, Ages: make([]time.Duration, len(d.Records))}
 	for i := range d.Records {
 		rec := &d.Records[i]
@@ -26,38 +26,39 @@
 	return r
 }
 
-// heardBy puts the times of records by this process's clock: asked is when they were asked
-// for. An answer is made after it was asked for, so nothing is dated later than it was.
-func (r *Records) heardBy(asked time.Time) {
+// setTimes converts the ages of records to times by this process's clock. The answer was
+// produced after it was requested, so an age counted back from the request gives no time that
+// is too late.
+func (r *Records) setTimes(requestedAt time.Time) {
 	for i := range r.Delta.Records {
 		if i < len(r.Ages) {
-			r.Delta.Records[i].NotBefore = asked.Add(-r.Ages[i])
+			r.Delta.Records[i].NotBefore = requestedAt.Add(-r.Ages[i])
 		}
 	}
 	for _, h := range r.Histories {
 		if h.Record >= 0 && h.Record < len(r.Delta.Records) {
-			h.heardBy(&r.Delta.Records[h.Record], asked)
+			h.setTimes(&r.Delta.Records[h.Record], requestedAt)
 		}
 	}
 }
 
-func (h *History) heardBy(r *mirror.Record, asked time.Time) {
+func (h *History) setTimes(r *mirror.Record, requestedAt time.Time) {
 	if len(h.EarlierAges) != len(r.Earlier) || len(h.GapAges) != len(r.Earlier)+1 {
-		r.Earlier = nil // It is no history of this record.
+		r.Earlier = nil // It does not belong to this record.
 		return
 	}
 	for i := range r.Earlier {
-		r.Earlier[i].NotBefore = asked.Add(-h.EarlierAges[i])
-		r.Earlier[i].GapNotBefore = asked.Add(-h.GapAges[i])
+		r.Earlier[i].NotBefore = requestedAt.Add(-h.EarlierAges[i])
+		r.Earlier[i].GapNotBefore = requestedAt.Add(-h.GapAges[i])
 	}
-	r.GapNotBefore = asked.Add(-h.GapAges[len(r.Earlier)])
+	r.GapNotBefore = requestedAt.Add(-h.GapAges[len(r.Earlier)])
 }
 
-// datedFor is for how long gateways tell one another when a change was made, so that all
-// count from the same time.
-const datedFor = 10 * time.Second
+// changeAgesFor is how long gateways exchange the ages of a change, so that all time it from
+// the same moment.
+const changeAgesFor = 10 * time.Second
 
-func dates(rs []mirror.Record, now time.Time) []ChangeAge {
+func changeAges(rs []mirror.Record, now time.Time) []ChangeAge {
 	var out []ChangeAge
 	for _, r := range rs {
 		out = append(out, ChangeAge{Key: r.Key, Rev: r.Rev, Age: now.Sub(r.NotBefore), GapAge: now.Sub(r.GapNotBefore)})
@@ -65,10 +66,10 @@
 	return out
 }
 
-// undated takes the times, and with them the changes before, off records that came unasked:
-// what was long on its way, or lay in the socket while this process stood still, is older
-// than its age says.
-func (r *Records) undated() {
+// dropHistory removes the earlier changes from records that came unsolicited, which get no
+// times either: a message that was delayed, or waited in the socket while this process was
+// paused, is older than its ages state.
+func (r *Records) dropHistory() {
 	for i := range r.Delta.Records {
 		r.Delta.Records[i].Earlier = nil
 	}
--- a/internal/peers/slow_test.go
+++ b/internal/peers/slow_link_test.go
@@ -13,14 +13,14 @@
 	"github.com/poststand/poststand/mirror"
 )
 
-// A watch hears nothing, and all records are 2.5 s on their way, over a full link: the
-// check that found a change has as long for them as a first read has, and does not begin
-// again and again.
+// A watch is silent, and reading all records takes 2.5 s over a saturated link. The check that
+// found a change must allow as much time for them as the first read does, instead of timing
+// out again and again.
 func TestCheckReadsAllRecordsOverASlowLink(t *testing.T) {
 	const slow, within = 2500 * time.Millisecond, 8 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var at, wholes atomic.Uint64
+		var at, reads atomic.Uint64
 		at.Store(1)
 		pause := func(ctx context.Context, d time.Duration) error {
 			select {
@@ -33,7 +33,7 @@
 		f := &Follower{
 			Mirror: &mirror.Mirror{}, Event: func(string, fault.Code) {},
 			ReadAll: func(ctx context.Context) (mirror.Delta, error) {
-				wholes.Add(1)
+				reads.Add(1)
 				d := mirror.Delta{Whole: true, At: mirror.Position(at.Load()), Records: []mirror.Record{{Key: "k", Rev: mirror.Position(at.Load())}}}
 				return d, pause(ctx, slow)
 			},
@@ -53,7 +53,7 @@
 		cancel()
 		synctest.Wait()
 		time.Sleep(time.Minute)
-		t.Logf("%d whole reads", wholes.Load())
+		t.Logf("%d whole reads", reads.Load())
 		is.Equal(got, mirror.Position(2))
 	})
 }
--- a/internal/peers/start.go
+++ b/internal/peers/start.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// StartDelay is how long processes that have just started wait for what others know,
-// before they read the platform themselves. All records may be hundreds of kilobytes: if
-// all processes read them at once, a start of the whole system would bury the platform
-// and the links between regions. A few read early, since those whom all ask first may be
-// late or away.
+// StartDelay defines how long processes that have just started wait for records from peers
+// before they read the platform themselves. All records may be hundreds of kilobytes: if all
+// processes read them at once, a start of the whole system would overload the platform and the
+// links between regions. A few processes read early, since those that all others ask first may
+// be slow or down.
 type StartDelay struct {
-	EarlyOneIn  int           // One process in so many reads early.
-	Early       time.Duration // It waits at least this,
-	EarlyJitter time.Duration // and up to so much more.
-	Later       time.Duration // The others wait at least this,
-	LaterJitter time.Duration // and up to so much more.
+	EarlyOneIn  int           // One process in this many reads early.
+	Early       time.Duration // Least delay of processes that read early.
+	EarlyJitter time.Duration // Random time added to Early.
+	Later       time.Duration // Least delay of the others.
+	LaterJitter time.Duration // Random time added to Later.
 }
 
-// Draw returns the wait of one process.
+// Draw returns a random delay for one process.
 func (w StartDelay) Draw() time.Duration {
 	if rand.IntN(w.EarlyOneIn) == 0 {
 		return w.Early + rand.N(w.EarlyJitter)
