--- a/internal/peers/assign_test.go
+++ b/internal/peers/assign_test.go
@@ -10,9 +10,9 @@
 	"github.com/poststand/poststand/config"
 )
 
-// A gateway that is told of a new target version first assumes the greatest age for the
-// change, and a moment later learns its actual age. The corrected time must reach the agents:
-// with the first one, they would load the version in too short a time.
+// A gateway that receives a new target version first assumes the greatest age for the change,
+// and a moment later learns its actual age. The corrected time must reach the agents: with the
+// first one, they would load the version in too short a time.
 func TestAssignmentOfAnotherTimeIsNotTheSame(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -31,11 +31,11 @@
 type Entry struct {
 	Kind    Kind
 	Message any // A pointer to a zero value of the message's struct type.
-	// Compress has large bodies of this kind compressed. Each body of the kind then
-	// begins with a byte that says whether it is.
+	// Compress enables compression of large bodies of this kind. Each body of the kind then
+	// begins with a byte that states whether it is compressed.
 	Compress bool
-	// ByName has the fields of this kind travel with their names: a build passes over the
-	// fields that it does not know, and what lacks is zero. Fields may only be added.
+	// ByName encodes structs of this kind as maps from field names: a build ignores fields
+	// that it does not know, and missing fields are zero. Fields may only be added.
 	ByName bool
 }
 
@@ -43,12 +43,12 @@
 type Codec struct {
 	byKind   map[Kind]reflect.Type
 	byType   map[reflect.Type]Kind
-	compress map[Kind]bool // Kinds whose large bodies are compressed.
-	byName   map[Kind]bool // Kinds whose fields travel with their names.
+	compress map[Kind]bool // Kinds with Entry.Compress.
+	byName   map[Kind]bool // Kinds with Entry.ByName.
 }
 
-// NewCodec returns a codec for the given entries. It panics on a kind that is
-// out of range or registered twice, since that is an error of the program.
+// NewCodec returns a codec for the given entries. It panics on a kind that is out of range or
+// registered twice, since that is a programming error.
 func NewCodec(groups ...[]Entry) *Codec {
 	c := &Codec{byKind: map[Kind]reflect.Type{}, byType: map[reflect.Type]Kind{}, compress: map[Kind]bool{}, byName: map[Kind]bool{}}
 	for _, g := range groups {
@@ -76,15 +76,15 @@
 	}
 	b, err := marshalAs(m, c.byName[k])
 	if err == nil && c.compress[k] {
-		b = shared.pack(b)
+		b = sharedCompressor.compress(b)
 	}
 	return k, b, err
 }
 
-// marshal encodes structs as arrays: both ends know the fields.
+// marshal encodes structs as arrays; both ends have the same fields.
 func marshal(m any) ([]byte, error) { return marshalAs(m, false) }
 
-// marshalAs encodes structs as arrays, or as maps by the names of their fields.
+// marshalAs encodes structs as arrays or, if byName is set, as maps from field names.
 func marshalAs(m any, byName bool) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.GetEncoder()
@@ -105,7 +105,7 @@
 	}
 	if c.compress[k] {
 		var err error
-		if body, err = shared.unpack(body); err != nil {
+		if body, err = sharedCompressor.decompress(body); err != nil {
 			return nil, err
 		}
 	}
--- a/wire/codec_test.go
+++ b/wire/codec_test.go
@@ -13,14 +13,14 @@
 	Size int
 }
 
-// These are one message of three builds: each has a field more.
+// These are one message in three builds, each with one field more.
 type (
-	sayOlder struct{ Inner nested }
-	say      struct {
+	msgOlder struct{ Inner nested }
+	msg      struct {
 		Inner nested
 		Rank  int
 	}
-	sayNewer struct {
+	msgNewer struct {
 		Added []string
 		Inner nested
 		Rank  int
@@ -28,21 +28,21 @@
 	}
 )
 
-// A message whose fields travel with their names is read by builds that know more or fewer of
-// them, in any order; one of another kind of message is not.
-func TestMessagesByNameOutliveTheirFields(t *testing.T) {
+// A message encoded by name can be decoded by builds that know more or fewer of its fields, in
+// any order; a field of the wrong type is garbage.
+func TestMessagesByNameAcrossBuilds(t *testing.T) {
 	codec := func(m any) *Codec { return NewCodec([]Entry{{Kind: 100, Message: m, ByName: true}}) }
-	older, now, newer := codec(&sayOlder{}), codec(&say{}), codec(&sayNewer{})
+	older, now, newer := codec(&msgOlder{}), codec(&msg{}), codec(&msgNewer{})
 	inner := nested{"n", 3}
 	for _, tc := range []struct {
 		name     string
 		from, to *Codec
 		m, want  any
 	}{
-		{"the same build", now, now, &say{inner, 2}, &say{inner, 2}},
-		{"from a newer one", newer, now, &sayNewer{[]string{"a"}, inner, 2, map[string]int{"b": 1}}, &say{inner, 2}},
-		{"from an older one", older, now, &sayOlder{inner}, &say{inner, 0}},
-		{"to an older one", now, older, &say{inner, 2}, &sayOlder{inner}},
+		{"the same build", now, now, &msg{inner, 2}, &msg{inner, 2}},
+		{"from a newer one", newer, now, &msgNewer{[]string{"a"}, inner, 2, map[string]int{"b": 1}}, &msg{inner, 2}},
+		{"from an older one", older, now, &msgOlder{inner}, &msg{inner, 0}},
+		{"to an older one", now, older, &msg{inner, 2}, &msgOlder{inner}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
--- a/wire/compress.go
+++ b/wire/compress.go
@@ -6,62 +6,63 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// The first byte of a body that may be compressed.
+// Values of the first byte of a body of a kind that may be compressed.
 const (
-	bodyPlain byte = 0
-	bodyZstd  byte = 1
+	bodyUncompressed byte = 0
+	bodyZstd         byte = 1
 )
 
-// Bounds of compression.
+// Limits of compression.
 const (
-	packLeast  = 512       // Bytes; smaller bodies are sent as they are.
-	unpackMost = 64 << 20  // Bytes that a body may have once it is unpacked.
-	window     = 128 << 10 // Bytes that an encoder looks back: repeats in a list of routes are near.
+	minCompressBytes     = 512       // Smaller bodies are sent uncompressed.
+	maxDecompressedBytes = 64 << 20  // Greatest size of a body after decompression.
+	windowBytes          = 128 << 10 // Match window of the encoder: repeats in a list of routes are close together.
 )
 
-// compressor packs and unpacks whole bodies. It is safe for concurrent use.
+// compressor compresses and decompresses whole bodies. It is safe for concurrent use.
 type compressor struct {
 	enc *zstd.Encoder
 	dec *zstd.Decoder
 }
 
-// shared is the compressor of all codecs of the process, since its tables are some
-// megabytes. It is made when the program starts: it holds channels, and tests in virtual
-// time may not use what another of them has made.
-var shared = newCompressor()
+// sharedCompressor is the compressor of all codecs of the process, since its tables take some
+// megabytes. It is created at program start because it holds channels, and a synctest bubble
+// must not use channels created in another one.
+var sharedCompressor = newCompressor()
 
-// newCompressor returns a compressor with all of its parts made.
+// newCompressor returns a compressor that has been used once, so that all its parts are
+// initialised.
 func newCompressor() *compressor {
-	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(window), zstd.WithLowerEncoderMem(true))
+	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(windowBytes), zstd.WithLowerEncoderMem(true))
 	if err != nil {
 		panic("wire: " + err.Error()) // The options are constants.
 	}
-	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(unpackMost))
+	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxDecompressedBytes))
 	if err != nil {
 		panic("wire: " + err.Error()) // The options are constants.
 	}
 	c := &compressor{enc: enc, dec: dec}
-	if _, err := c.unpack(c.pack(make([]byte, packLeast))); err != nil {
+	if _, err := c.decompress(c.compress(make([]byte, minCompressBytes))); err != nil {
 		panic("wire: " + err.Error())
 	}
 	return c
 }
 
-// pack returns a body with its first byte, compressed if it is large.
-func (c *compressor) pack(body []byte) []byte {
-	if len(body) < packLeast {
-		return append([]byte{bodyPlain}, body...)
+// compress returns a body with its first byte, compressed if it is large.
+func (c *compressor) compress(body []byte) []byte {
+	if len(body) < minCompressBytes {
+		return append([]byte{bodyUncompressed}, body...)
 	}
 	return c.enc.EncodeAll(body, []byte{bodyZstd})
 }
 
-// unpack returns what pack was given, or fault.Garbage.
-func (c *compressor) unpack(body []byte) ([]byte, error) {
+// decompress returns the body that was passed to compress, or fault.Garbage.
+func (c *compressor) decompress(body []byte) ([]byte, error) {
 	if len(body) == 0 {
 		return nil, fault.New(fault.Garbage, "empty body")
 	}
 	switch body[0] {
-	case bodyPlain:
+	case bodyUncompressed:
 		return body[1:], nil
 	case bodyZstd:
 		out, err := c.dec.DecodeAll(body[1:], nil)
@@ -70,5 +71,5 @@
 		}
 		return out, nil
 	}
-	return nil, fault.New(fault.Garbage, "unknown form of body")
+	return nil, fault.New(fault.Garbage, "unknown body encoding")
 }
--- a/wire/compress_test.go
+++ b/wire/compress_test.go
@@ -16,8 +16,8 @@
 
 var listCodec = NewCodec([]Entry{{Kind: 17, Message: &list{}, Compress: true}})
 
-// What is packed comes back whole, whatever its size.
-func TestBodiesComeBackFromCompression(t *testing.T) {
+// A body of any size survives compression and decompression.
+func TestCompressionRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		m := &list{rapid.SliceOfN(rapid.StringN(0, 40, -1), 0, 200).Draw(t, "names")}
@@ -31,8 +31,8 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-// Bytes that nobody packed are garbage, never a message or a crash.
-func TestSpoiltCompressionIsGarbage(t *testing.T) {
+// Bytes that are no compressed body are garbage, never a message or a panic.
+func TestCorruptCompressedBodyIsGarbage(t *testing.T) {
 	is := is.New(t)
 	_, body, err := listCodec.encode(&list{make([]string, 1000)})
 	is.NoErr(err)
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -15,32 +15,33 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Options bounds a connection. The zero value has safe defaults.
+// Options sets limits and hooks of a connection. The zero value has safe defaults.
 type Options struct {
-	MaxFrame     int           // Bytes in a body; 9 MiB by default.
-	MaxStreams   int           // Streams that the peer may have open; 4096 by default.
+	MaxFrame     int           // Greatest size of a body in bytes; 9 MiB by default.
+	MaxStreams   int           // Greatest number of open streams opened by the peer; 4096 by default.
 	StreamBuffer int           // Messages buffered for each stream; 512 by default.
 	WriteQueue   int           // Frames waiting to be written; 128 by default.
-	BufferSize   int           // Bytes gathered into one write, and read ahead; 8 KiB by default.
-	PingInterval time.Duration // Silence after which a ping is sent; 5 s by default.
-	StallTimeout time.Duration // Silence after which the peer is given up; 15 s by default.
-	// PingIntervalFor, if set, gives PingEvery for a peer as it is now, and StallAfter is then
-	// some pings. Where it gives zero the two fields above hold.
+	BufferSize   int           // Size of the read and write buffers; 8 KiB by default.
+	PingInterval time.Duration // Idle time after which a ping is sent; 5 s by default.
+	StallTimeout time.Duration // Time without data from the peer after which the connection fails; 15 s by default.
+	// PingIntervalFor, if set, returns the current PingInterval for a peer, with a
+	// StallTimeout of maxMissedPings intervals. If it returns zero, the two fields above
+	// apply.
 	PingIntervalFor  func(peer Hello) time.Duration
-	HandshakeTimeout time.Duration // Time for the handshake; 5 s by default.
+	HandshakeTimeout time.Duration // 5 s by default.
 	OnFault          func(c fault.Code)
-	OnTraffic        func(sent, received int) // Bytes of each frame, header included.
+	OnTraffic        func(sent, received int) // Called with the bytes of each frame, including its header.
 }
 
 func (o Options) withDefaults() Options {
-	o.MaxFrame = orInt(o.MaxFrame, 9<<20)
-	o.MaxStreams = orInt(o.MaxStreams, 4096)
-	o.StreamBuffer = orInt(o.StreamBuffer, 512)
-	o.WriteQueue = orInt(o.WriteQueue, 128)
-	o.BufferSize = orInt(o.BufferSize, 8<<10)
-	o.PingInterval = orDuration(o.PingInterval, 5*time.Second)
-	o.StallTimeout = orDuration(o.StallTimeout, 15*time.Second)
-	o.HandshakeTimeout = orDuration(o.HandshakeTimeout, 5*time.Second)
+	o.MaxFrame = intOrDefault(o.MaxFrame, 9<<20)
+	o.MaxStreams = intOrDefault(o.MaxStreams, 4096)
+	o.StreamBuffer = intOrDefault(o.StreamBuffer, 512)
+	o.WriteQueue = intOrDefault(o.WriteQueue, 128)
+	o.BufferSize = intOrDefault(o.BufferSize, 8<<10)
+	o.PingInterval = durationOrDefault(o.PingInterval, 5*time.Second)
+	o.StallTimeout = durationOrDefault(o.StallTimeout, 15*time.Second)
+	o.HandshakeTimeout = durationOrDefault(o.HandshakeTimeout, 5*time.Second)
 	if o.OnFault == nil {
 		o.OnFault = func(fault.Code) {}
 	}
@@ -50,14 +51,14 @@
 	return o
 }
 
-func orInt(v, d int) int {
+func intOrDefault(v, d int) int {
 	if v == 0 {
 		return d
 	}
 	return v
 }
 
-func orDuration(v, d time.Duration) time.Duration {
+func durationOrDefault(v, d time.Duration) time.Duration {
 	if v == 0 {
 		return d
 	}
@@ -66,25 +67,25 @@
 
 const headerSize = 4 + 1 + 8
 
-// stallPings is how many pings may go unanswered where Options.PingIntervalFor is set.
-const stallPings = 4
+// maxMissedPings is how many pings may go unanswered if Options.PingIntervalFor is set.
+const maxMissedPings = 4
 
-func (c *Conn) pingEvery() time.Duration {
-	if every := c.pings(); every > 0 {
-		return every
+func (c *Conn) pingInterval() time.Duration {
+	if interval := c.peerPingInterval(); interval > 0 {
+		return interval
 	}
 	return c.opts.PingInterval
 }
 
-func (c *Conn) stallAfter() time.Duration {
-	if every := c.pings(); every > 0 {
-		return stallPings * every
+func (c *Conn) stallTimeout() time.Duration {
+	if interval := c.peerPingInterval(); interval > 0 {
+		return maxMissedPings * interval
 	}
 	return c.opts.StallTimeout
 }
 
-// pings is what Options.PingIntervalFor gives for the peer, or zero.
-func (c *Conn) pings() time.Duration {
+// peerPingInterval returns the result of Options.PingIntervalFor for the peer, or zero.
+func (c *Conn) peerPingInterval() time.Duration {
 	if c.opts.PingIntervalFor == nil {
 		return 0
 	}
@@ -97,32 +98,31 @@
 	body   []byte
 }
 
-// Conn is one connection to a peer process. Its methods are safe for use by
-// many goroutines.
+// Conn is one connection to a peer process. Its methods are safe for concurrent use.
 type Conn struct {
-	nc     net.Conn
-	codec  *Codec
-	serve  *Handlers
-	opts   Options
-	remote Hello
-	out    chan frame
-	ctx    context.Context // Ends with the connection.
-	end    context.CancelCauseFunc
-	nextID atomic.Uint64
-
-	mu      sync.Mutex
-	streams map[uint64]*Stream
-	opened  int // Streams opened by the peer that are still served.
-	// pinged is when the first ping that has no answer yet was sent; zero if all have.
-	pinged time.Time
-	delay  time.Duration // That the last answered ping took.
+	nc       net.Conn
+	codec    *Codec
+	handlers *Handlers
+	opts     Options
+	remote   Hello
+	out      chan frame
+	ctx      context.Context // Done when the connection ends.
+	cancel   context.CancelCauseFunc
+	nextID   atomic.Uint64
+
+	mu           sync.Mutex
+	streams      map[uint64]*Stream
+	openedByPeer int // Streams opened by the peer that are still being served.
+	// pingSentAt is when the oldest unanswered ping was sent; zero if none is unanswered.
+	pingSentAt time.Time
+	rtt        time.Duration // Round-trip time of the last answered ping.
 }
 
-// NewConn introduces local over nc, checks the peer's Hello and starts the
-// connection's goroutines. The dialling end passes dialler true. On failure nc
-// is closed. The connection lives until Close, an error, or the end of ctx.
+// NewConn exchanges Hellos over nc, checks that of the peer and starts the connection's
+// goroutines. The dialling end passes dialler true. On failure nc is closed. The connection
+// lasts until Close, an error, or the end of ctx.
 func NewConn(ctx context.Context, nc net.Conn, local Hello, codec *Codec, h *Handlers, dialler bool, opts Options) (*Conn, error) {
-	c := &Conn{nc: nc, codec: codec, serve: h, opts: opts.withDefaults(), streams: map[uint64]*Stream{}}
+	c := &Conn{nc: nc, codec: codec, handlers: h, opts: opts.withDefaults(), streams: map[uint64]*Stream{}}
 	c.out = make(chan frame, c.opts.WriteQueue)
 	if dialler {
 		c.nextID.Store(1)
@@ -133,7 +133,7 @@
 		_ = nc.Close()
 		return nil, err
 	}
-	c.ctx, c.end = context.WithCancelCause(ctx)
+	c.ctx, c.cancel = context.WithCancelCause(ctx)
 	go c.readLoop(r)
 	go c.writeLoop()
 	context.AfterFunc(c.ctx, func() { _ = nc.Close() })
@@ -180,19 +180,19 @@
 	}
 	var h Hello
 	if f.kind != kindHello || msgpack.Unmarshal(f.body, &h) != nil {
-		return Hello{}, fault.New(fault.Garbage, "no hello")
+		return Hello{}, fault.New(fault.Garbage, "first frame is not a hello")
 	}
 	return h, nil
 }
 
-// Remote returns the peer's introduction.
+// Remote returns the peer's Hello.
 func (c *Conn) Remote() Hello { return c.remote }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.ctx.Done() }
 
 // Close ends the connection and every stream on it.
-func (c *Conn) Close() { c.end(fault.New(fault.Closed, "closed here")) }
+func (c *Conn) Close() { c.cancel(fault.New(fault.Closed, "connection closed locally")) }
 
 func (c *Conn) cause() error {
 	err := context.Cause(c.ctx)
@@ -234,7 +234,7 @@
 
 func (c *Conn) readLoop(r *bufio.Reader) {
 	for {
-		_ = c.nc.SetReadDeadline(time.Now().Add(c.stallAfter()))
+		_ = c.nc.SetReadDeadline(time.Now().Add(c.stallTimeout()))
 		f, err := readFrame(r, c.opts.MaxFrame)
 		if err != nil {
 			c.fail(err)
@@ -252,12 +252,12 @@
 	if c.ctx.Err() == nil {
 		c.opts.OnFault(fault.CodeOf(err))
 	}
-	c.end(err)
+	c.cancel(err)
 }
 
 func (c *Conn) writeLoop() {
 	w := bufio.NewWriterSize(c.nc, c.opts.BufferSize)
-	ping := time.NewTimer(c.pingEvery())
+	ping := time.NewTimer(c.pingInterval())
 	defer ping.Stop()
 	for {
 		select {
@@ -269,50 +269,50 @@
 				return
 			}
 		case <-ping.C:
-			c.sendsPing(time.Now())
+			c.pingSent(time.Now())
 			if err := c.writeAll(w, frame{kind: kindPing}); err != nil {
 				c.fail(err)
 				return
 			}
 		}
-		ping.Reset(c.pingEvery())
+		ping.Reset(c.pingInterval())
 	}
 }
 
-// sendsPing records that a ping leaves.
-func (c *Conn) sendsPing(now time.Time) {
+// pingSent records that a ping is being sent.
+func (c *Conn) pingSent(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.pinged.IsZero() {
-		c.pinged = now
+	if c.pingSentAt.IsZero() {
+		c.pingSentAt = now
 	}
 }
 
-// pingAnswered records that the answer to a ping came.
+// pingAnswered records the answer to a ping.
 func (c *Conn) pingAnswered(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.pinged.IsZero() {
-		c.delay, c.pinged = now.Sub(c.pinged), time.Time{}
+	if !c.pingSentAt.IsZero() {
+		c.rtt, c.pingSentAt = now.Sub(c.pingSentAt), time.Time{}
 	}
 }
 
-// RTT is how long a message to the peer and its answer take, by the last ping: as
-// long as it took, or as it has taken so far. Zero is not known. Pings are sent only
-// while nothing else is.
+// RTT returns the round-trip time of the last ping, or the time since a ping that is still
+// unanswered if that is longer. Zero means not known. Pings are sent only while the connection
+// is idle.
 func (c *Conn) RTT(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.pinged.IsZero() {
-		return max(c.delay, now.Sub(c.pinged))
+	if !c.pingSentAt.IsZero() {
+		return max(c.rtt, now.Sub(c.pingSentAt))
 	}
-	return c.delay
+	return c.rtt
 }
 
-// writeAll writes f and whatever else waits, then flushes once.
+// writeAll writes f and all other queued frames, then flushes once.
 func (c *Conn) writeAll(w *bufio.Writer, f frame) error {
 	for {
-		_ = c.nc.SetWriteDeadline(time.Now().Add(c.stallAfter()))
+		_ = c.nc.SetWriteDeadline(time.Now().Add(c.stallTimeout()))
 		c.opts.OnTraffic(headerSize+len(f.body), 0)
 		if _, err := w.Write(appendFrame(make([]byte, 0, headerSize+len(f.body)), f)); err != nil {
 			return readError(err)
--- a/wire/conn_test.go
+++ b/wire/conn_test.go
@@ -24,8 +24,8 @@
 
 func hello(cluster string) Hello { return Hello{Cluster: cluster, Box: "a", Incarnation: 1} }
 
-// pair joins two connections over a pipe.
-func pair(t *testing.T, h *Handlers, o Options) (*Conn, *Conn) {
+// connPair returns two connections joined by a pipe.
+func connPair(t *testing.T, h *Handlers, o Options) (*Conn, *Conn) {
 	t.Helper()
 	a, b := net.Pipe()
 	done := make(chan *Conn, 1)
@@ -43,7 +43,7 @@
 func TestCallAnswersOnItsOwnStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		c, _ := pair(t, echoHandlers(), Options{})
+		c, _ := connPair(t, echoHandlers(), Options{})
 		defer c.Close()
 		for _, text := range []string{"one", "two"} {
 			m, err := c.Call(t.Context(), &echo{text})
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestHandshakeRefusesByName(t *testing.T) {
+func TestHandshakeErrors(t *testing.T) {
 	cases := []struct {
 		name  string
 		bytes []byte
@@ -82,7 +82,7 @@
 				go func() { _, _ = b.Read(make([]byte, 1<<10)) }()
 				_, err := NewConn(t.Context(), a, hello("c"), testCodec, nil, false, Options{OnFault: func(c fault.Code) { counted = c }})
 				is.Equal(fault.CodeOf(err), tc.want)
-				is.Equal(counted, tc.want) // each refusal is counted
+				is.Equal(counted, tc.want) // Each refusal is counted.
 				_ = b.Close()
 			})
 		})
@@ -99,15 +99,15 @@
 			}
 			_ = s.SendLast(ctx, m)
 		})
-		c, _ := pair(t, h, Options{StreamBuffer: 4})
+		c, _ := connPair(t, h, Options{StreamBuffer: 4})
 		defer c.Close()
 		slow, err := c.Open(t.Context(), &echo{"slow"})
 		is.NoErr(err)
-		synctest.Wait() // nobody reads
+		synctest.Wait() // Nothing is read from the stream.
 		quick, err := c.Open(t.Context(), &echo{"quick"})
 		is.NoErr(err)
 		_, err = quick.Recv(t.Context())
-		is.NoErr(err) // another stream goes on
+		is.NoErr(err) // Another stream is not affected.
 		for err = nil; err == nil; {
 			_, err = slow.Recv(t.Context())
 		}
@@ -131,7 +131,7 @@
 	})
 }
 
-// mute passes the handshake and then stalls without closing.
+// mute passes the handshake, then drops all writes without closing.
 type mute struct {
 	net.Conn
 	writes int
@@ -145,9 +145,9 @@
 	return m.Conn.Write(b)
 }
 
-// A connection on which nothing is said lives, though one end gives up sooner
-// than the other would speak by itself.
-func TestIdleConnectionLives(t *testing.T) {
+// An idle connection stays up, though one end's stall timeout is shorter than the other's ping
+// interval.
+func TestIdleConnectionStaysUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, b := net.Pipe()
@@ -163,7 +163,7 @@
 	})
 }
 
-// Addresses of boxes that were replaced do not stay in a pool for ever.
+// Addresses of replaced boxes are eventually dropped from a pool.
 func TestPoolForgetsDeadAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -6,7 +6,7 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Protocol is the version that this build speaks and the oldest it accepts.
+// Protocol is the protocol version of this build and the oldest one that it accepts.
 const Protocol = 4
 
 const magic = "poststand"
@@ -15,10 +15,10 @@
 type Hello struct {
 	Magic       string
 	Protocol    int
-	Cluster     string // Both ends must name the same cluster.
+	Cluster     string // Must be the same at both ends.
 	Box         string
 	Hall        string
-	Role        string // Such as "gateway" or "agent".
+	Role        string // For example "gateway" or "agent".
 	Incarnation uint64 // Drawn at random when the process starts; never zero.
 }
 
@@ -27,14 +27,14 @@
 	case h.Magic != magic:
 		return fault.New(fault.Garbage, "not a poststand peer")
 	case h.Protocol < Protocol:
-		return fault.New(fault.OldProtocol, fmt.Sprintf("peer speaks %d, need %d", h.Protocol, Protocol))
+		return fault.New(fault.OldProtocol, fmt.Sprintf("peer speaks protocol %d, need %d", h.Protocol, Protocol))
 	case h.Cluster != local.Cluster:
 		return fault.New(fault.OtherFleet, h.Cluster)
 	}
 	return nil
 }
 
-// RemoteError is the last message of a stream that the peer refused.
+// RemoteError is the last message of a stream that the peer refused or failed.
 type RemoteError struct {
 	Code   fault.Code
 	Detail string
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -9,8 +9,8 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// redialAfter is how long a failed address is left alone.
-const redialAfter = 300 * time.Millisecond
+// defaultRedialDelay is the default of Pool.RedialDelay.
+const defaultRedialDelay = 300 * time.Millisecond
 
 // Pool keeps one connection to each address. Set the exported fields before
 // first use.
@@ -20,27 +20,28 @@
 	Handlers    *Handlers
 	Options     Options
 	Dial        func(ctx context.Context, addr string) (net.Conn, error) // TCP by default.
-	Lifetime    context.Context                                          // Ends every connection.
-	MaxAddrs    int                                                      // Addresses remembered beyond the live ones; 4096 by default.
-	RedialDelay time.Duration                                            // An address is left alone so long after a failure; 250 ms by default.
+	Lifetime    context.Context                                          // Its end closes every connection.
+	MaxAddrs    int                                                      // Addresses kept before unused ones are dropped; 4096 by default.
+	RedialDelay time.Duration                                            // Time after a failure in which an address is not dialled; 300 ms by default.
 
 	mu    sync.Mutex
-	conns map[string]*pooled
+	conns map[string]*poolEntry
 }
 
-// pooled is a connection that is there, being made, or failed until retryAt.
-type pooled struct {
+// poolEntry is a connection that is established, being established, or failed and not retried
+// until retryAt.
+type poolEntry struct {
 	ready   chan struct{}
 	conn    *Conn
 	err     error
 	retryAt time.Time
 }
 
-// Get returns a live connection to addr, dialling if there is none. It fails
-// at once while the address is left alone after a failure.
+// Get returns a live connection to addr, dialling if there is none. It fails at once during
+// the redial delay after a failure.
 func (p *Pool) Get(ctx context.Context, addr string) (*Conn, error) {
-	e, mine := p.entry(addr)
-	if mine {
+	e, created := p.entry(addr)
+	if created {
 		p.connect(addr, e)
 	}
 	select {
@@ -51,35 +52,35 @@
 	}
 }
 
-func (p *Pool) entry(addr string) (*pooled, bool) {
+func (p *Pool) entry(addr string) (*poolEntry, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conns == nil {
-		p.conns = map[string]*pooled{}
+		p.conns = map[string]*poolEntry{}
 	}
-	if e, ok := p.conns[addr]; ok && !e.spent() {
+	if e, ok := p.conns[addr]; ok && !e.replaceable() {
 		return e, false
 	}
-	p.forget()
-	e := &pooled{ready: make(chan struct{})}
+	p.evict()
+	e := &poolEntry{ready: make(chan struct{})}
 	p.conns[addr] = e
 	return e, true
 }
 
-// forget drops what is of no use once there is much of it. The caller holds p.mu.
-func (p *Pool) forget() {
-	if len(p.conns) < orInt(p.MaxAddrs, 4096) {
+// evict drops replaceable entries once the pool has reached MaxAddrs. The caller holds p.mu.
+func (p *Pool) evict() {
+	if len(p.conns) < intOrDefault(p.MaxAddrs, 4096) {
 		return
 	}
 	for addr, e := range p.conns {
-		if e.spent() {
+		if e.replaceable() {
 			delete(p.conns, addr)
 		}
 	}
 }
 
-// spent reports whether a new connection may be tried.
-func (e *pooled) spent() bool {
+// replaceable reports whether the entry is finished and a new connection may be dialled.
+func (e *poolEntry) replaceable() bool {
 	select {
 	case <-e.ready:
 	default:
@@ -96,29 +97,30 @@
 	}
 }
 
-func (p *Pool) connect(addr string, e *pooled) {
+func (p *Pool) connect(addr string, e *poolEntry) {
 	defer close(e.ready)
 	e.conn, e.err = p.dial(addr)
 	if e.err != nil {
-		e.retryAt = time.Now().Add(p.redial())
+		e.retryAt = time.Now().Add(p.redialDelay())
 	}
 }
 
-func (p *Pool) redial() time.Duration {
+func (p *Pool) redialDelay() time.Duration {
 	if p.RedialDelay > 0 {
 		return p.RedialDelay
 	}
-	return redialAfter
+	return defaultRedialDelay
 }
 
-// dial is bounded by its own deadline, since others wait for the same result.
+// dial has its own deadline, independent of one caller's context, since others wait for the
+// same result.
 func (p *Pool) dial(addr string) (*Conn, error) {
-	const dialWithin = 2 * time.Second
-	life := p.Lifetime
-	if life == nil {
-		life = context.Background()
+	const dialTimeout = 2 * time.Second
+	lifetime := p.Lifetime
+	if lifetime == nil {
+		lifetime = context.Background()
 	}
-	ctx, cancel := context.WithTimeout(life, dialWithin)
+	ctx, cancel := context.WithTimeout(lifetime, dialTimeout)
 	defer cancel()
 	dial := p.Dial
 	if dial == nil {
@@ -130,28 +132,28 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.Unreachable, err, addr)
 	}
-	return NewConn(life, nc, p.Local, p.Codec, p.Handlers, true, p.Options)
+	return NewConn(lifetime, nc, p.Local, p.Codec, p.Handlers, true, p.Options)
 }
 
-// DialNew returns a new connection beside the pooled one, for a question that
-// must not share the fate of the first. The caller closes it.
+// DialNew returns a new connection beside the pooled one, for a request that must not fail
+// with the pooled connection. The caller closes it.
 func (p *Pool) DialNew(ctx context.Context, addr string) (*Conn, error) {
-	type made struct {
+	type dialResult struct {
 		c   *Conn
 		err error
 	}
-	done := make(chan made, 1)
+	done := make(chan dialResult, 1)
 	go func() {
 		c, err := p.dial(addr)
-		done <- made{c, err}
+		done <- dialResult{c, err}
 	}()
 	select {
-	case m := <-done:
-		return m.c, m.err
+	case res := <-done:
+		return res.c, res.err
 	case <-ctx.Done():
 		go func() {
-			if m := <-done; m.c != nil {
-				m.c.Close()
+			if res := <-done; res.c != nil {
+				res.c.Close()
 			}
 		}()
 		return nil, fault.Wrap(fault.Timeout, context.Cause(ctx), "dial "+addr)
@@ -185,11 +187,11 @@
 	MaxConns int // Connections at once; 4096 by default.
 }
 
-// Serve accepts until ctx ends, then closes ln.
+// Serve accepts connections until ctx ends, then closes ln.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
-	slots := make(chan struct{}, orInt(s.MaxConns, 4096))
+	slots := make(chan struct{}, intOrDefault(s.MaxConns, 4096))
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -12,13 +12,13 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Stream is an ordered exchange of messages on a Conn.
+// Stream is an ordered, bidirectional sequence of messages on a Conn.
 type Stream struct {
-	conn *Conn
-	id   uint64
-	in   chan frame
-	ctx  context.Context
-	end  context.CancelCauseFunc
+	conn   *Conn
+	id     uint64
+	in     chan frame
+	ctx    context.Context
+	cancel context.CancelCauseFunc
 
 	mu       sync.Mutex
 	sentLast bool
@@ -29,13 +29,13 @@
 // when the handler returns.
 type Handler func(ctx context.Context, s *Stream, m any)
 
-// Handlers finds the handler for a message by its type. The zero value handles
-// nothing. It must not change once a connection uses it.
+// Handlers maps the types of messages to their handlers. The zero value has no handlers. It
+// must not change once a connection uses it.
 type Handlers struct {
 	byType map[reflect.Type]Handler
 }
 
-// On registers fn for messages of type T.
+// On registers fn as the handler for messages of type T.
 func On[T any](h *Handlers, fn func(ctx context.Context, s *Stream, m *T)) {
 	if h.byType == nil {
 		h.byType = map[reflect.Type]Handler{}
@@ -75,18 +75,18 @@
 	defer s.Close()
 	r, err := s.Recv(ctx)
 	if err == io.EOF {
-		return nil, fault.New(fault.Closed, "no reply")
+		return nil, fault.New(fault.Closed, "stream ended without a reply")
 	}
 	return r, err
 }
 
 func (c *Conn) newStream(id uint64) *Stream {
 	s := &Stream{conn: c, id: id, in: make(chan frame, c.opts.StreamBuffer)}
-	s.ctx, s.end = context.WithCancelCause(c.ctx)
+	s.ctx, s.cancel = context.WithCancelCause(c.ctx)
 	return s
 }
 
-// receive routes one frame from the peer. An error ends the connection.
+// receive dispatches one frame from the peer. An error ends the connection.
 func (c *Conn) receive(f frame) error {
 	if f.kind == kindPing {
 		c.answerPing(f)
@@ -99,20 +99,20 @@
 		return c.accept(f)
 	}
 	if f.kind == kindCancel {
-		s.end(fault.New(fault.Cancelled, "by the peer"))
+		s.cancel(fault.New(fault.Cancelled, "cancelled by the peer"))
 		return nil
 	}
 	select {
 	case s.in <- f:
 	default:
 		c.opts.OnFault(fault.Overflow)
-		s.end(fault.New(fault.Overflow, "reader too slow"))
+		s.cancel(fault.New(fault.Overflow, "stream buffer full: reader too slow"))
 	}
 	return nil
 }
 
-// answerPing answers a ping, so that the peer hears from us as often as it asks.
-// An answer carries a stream number, and is not answered again.
+// answerPing answers a ping, so that the peer receives data as often as it asks for it. An
+// answer has a nonzero stream number and is not answered in turn.
 func (c *Conn) answerPing(f frame) {
 	if f.stream != 0 {
 		c.pingAnswered(time.Now())
@@ -120,15 +120,15 @@
 	}
 	select {
 	case c.out <- frame{kind: kindPing, stream: 1}:
-	default: // What waits to be written will do.
+	default: // A queued frame serves as the answer.
 	}
 }
 
-// accept opens the stream of a first frame. A frame that cannot be one, since
-// the stream is ours and forgotten, is dropped and counted.
+// accept opens a stream for its first frame. A frame that cannot be a first frame, such as one
+// for a stream that this end opened and has closed, is dropped and counted.
 func (c *Conn) accept(f frame) error {
-	ours := f.stream%2 == c.nextID.Load()%2
-	if ours || f.kind == kindCancel || f.kind&^lastFlag < MinKind {
+	openedHere := f.stream%2 == c.nextID.Load()%2
+	if openedHere || f.kind == kindCancel || f.kind&^lastFlag < MinKind {
 		c.opts.OnFault(fault.UnknownStream)
 		return nil
 	}
@@ -141,15 +141,15 @@
 		c.refuse(s, err)
 		return nil
 	}
-	fn, ok := c.serve.find(m)
+	fn, ok := c.handlers.find(m)
 	if !ok {
 		c.refuse(s, fault.New(fault.Unsupported, reflect.TypeOf(m).String()))
 		return nil
 	}
 	c.mu.Lock()
-	full := c.opened >= c.opts.MaxStreams
+	full := c.openedByPeer >= c.opts.MaxStreams
 	if !full {
-		c.opened++
+		c.openedByPeer++
 		c.streams[s.id] = s
 	}
 	c.mu.Unlock()
@@ -165,19 +165,19 @@
 	fn(s.ctx, s, m)
 	s.Close()
 	c.mu.Lock()
-	c.opened--
+	c.openedByPeer--
 	c.mu.Unlock()
 }
 
-// refuse answers without a handler. It never blocks the reading goroutine for
-// long: if the write ring is full the refusal is dropped and the peer times out.
+// refuse sends an error without running a handler. It never blocks the read loop: if the write
+// queue is full, the error is dropped and the peer's call times out.
 func (c *Conn) refuse(s *Stream, err error) {
 	c.opts.OnFault(fault.CodeOf(err))
 	select {
 	case c.out <- errorFrame(s.id, err):
 	default:
 	}
-	s.end(err)
+	s.cancel(err)
 }
 
 func errorFrame(id uint64, err error) frame {
@@ -196,7 +196,7 @@
 	return s.send(ctx, m, lastFlag)
 }
 
-// Fail ends this direction with a typed error.
+// Fail ends this direction of the stream with a typed error.
 func (s *Stream) Fail(ctx context.Context, err error) error {
 	s.mu.Lock()
 	s.sentLast = true
@@ -218,20 +218,20 @@
 	return s.conn.enqueue(ctx, frame{kind: k | flag, stream: s.id, body: b})
 }
 
-// Recv returns the next message. It returns io.EOF after the last one, and the
-// peer's typed error if the peer refused.
+// Recv returns the next message. It returns io.EOF after the last one, and the peer's typed
+// error if the peer refused or failed the stream.
 func (s *Stream) Recv(ctx context.Context) (any, error) {
 	if s.gotLast {
 		return nil, io.EOF
 	}
 	select {
 	case f := <-s.in:
-		return s.take(f)
+		return s.decode(f)
 	default:
 	}
 	select {
 	case f := <-s.in:
-		return s.take(f)
+		return s.decode(f)
 	case <-ctx.Done():
 		return nil, fault.Wrap(fault.Timeout, context.Cause(ctx), "receive")
 	case <-s.ctx.Done():
@@ -239,7 +239,7 @@
 	}
 }
 
-func (s *Stream) take(f frame) (any, error) {
+func (s *Stream) decode(f frame) (any, error) {
 	s.mu.Lock()
 	s.gotLast = f.kind&lastFlag != 0
 	s.mu.Unlock()
@@ -261,8 +261,8 @@
 	return context.Cause(s.ctx)
 }
 
-// Close forgets the stream. If neither end has finished, the peer is told, and
-// its handler's context ends.
+// Close removes the stream. If neither end has finished, the peer is notified, and the context
+// of its handler ends.
 func (s *Stream) Close() {
 	s.conn.mu.Lock()
 	_, known := s.conn.streams[s.id]
@@ -277,7 +277,7 @@
 		default:
 		}
 	}
-	s.end(fault.New(fault.Closed, "stream closed"))
+	s.cancel(fault.New(fault.Closed, "stream closed"))
 }
 
 // Finished reports whether the peer's last message has been received.
