--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -226,11 +226,11 @@
 		}
 	}
 	behind := a.At > g.Mirror.At() && !g.pulling
-	across := behind && a.From.Hall != g.Self.Hall && g.hasLocalSource(now)
+	crossHall := behind && a.From.Hall != g.Self.Hall && g.hasLocalSource(now)
 	switch {
-	case across && g.pullDelayed:
+	case crossHall && g.pullDelayed:
 		behind = false
-	case across:
+	case crossHall:
 		g.pullDelayed = true
 	default:
 		g.pulling = g.pulling || behind
@@ -244,7 +244,7 @@
 		g.learnChangeAges(a, requestedAt)
 	}
 	switch {
-	case across && behind:
+	case crossHall && behind:
 		go g.pullAfterDelay(a.From.Addr)
 	case behind:
 		go g.pull(a.From.Addr)
@@ -277,9 +277,9 @@
 		g.recordMember(Member{Addr: addr}, time.Now())
 		g.mu.Unlock()
 	}
-	first := g.round(ctx)
+	firstRound := g.round(ctx)
 	go func() {
-		first.Wait()
+		firstRound.Wait()
 		close(g.joinAttempted)
 	}()
 	due := time.Now().Add(g.roundInterval())
