--- a/internal/peers/limits.go
+++ b/internal/peers/limits.go
@@ -34,21 +34,23 @@
 // PermitRequest requests permission to send one request from the gateway that enforces a
 // replica's limit. It is answered by a Permit.
 type PermitRequest struct {
-	Word ReplicaLimit // The limit as known to the sender.
-	Rank int          // Priority of the request; 0 is the most urgent.
+	Limit ReplicaLimit `msgpack:"Word"` // The limit as known to the sender.
+	Rank  int          // Priority of the request; 0 is the most urgent.
 }
 
 // Permit answers a PermitRequest.
 type Permit struct {
-	Word   ReplicaLimit // The limit as known to the limiter.
-	Given  bool
-	NextIn time.Duration // Time until a permit may be available, if none is granted.
+	Limit   ReplicaLimit  `msgpack:"Word"` // The limit as known to the limiter.
+	Granted bool          `msgpack:"Given"`
+	NextIn  time.Duration // Time until a permit may be available, if none is granted.
 	// NotLimiter reports that this gateway does not enforce the limit, as far as it knows.
 	NotLimiter bool
 }
 
 // ReplicaLimits reports limits that replicas have named.
-type ReplicaLimits struct{ Words []ReplicaLimit }
+type ReplicaLimits struct {
+	Limits []ReplicaLimit `msgpack:"Words"`
+}
 
 // RequestPermit requests a permit from the gateway at an address.
 func (g *Gossip) RequestPermit(ctx context.Context, addr string, req *PermitRequest) (*Permit, error) {
@@ -61,7 +63,7 @@
 		return nil, err
 	}
 	p, ok := m.(*Permit)
-	if !ok || p.NextIn < 0 || !p.Word.Valid() {
+	if !ok || p.NextIn < 0 || !p.Limit.Valid() {
 		return nil, fault.New(fault.Garbage, "permit")
 	}
 	return p, nil
--- a/internal/peers/message.go
+++ b/internal/peers/message.go
@@ -61,8 +61,8 @@
 	Ages []time.Duration
 	// Histories belong to those records of Delta that have earlier changes.
 	Histories []History
-	// Onward requests that a receiver in another hall forwards the changes within its own.
-	Onward bool
+	// ForwardInHall requests that a receiver in another hall forwards the changes within its own.
+	ForwardInHall bool `msgpack:"Onward"`
 }
 
 // History holds the greatest possible ages of the changes before a record.
--- /dev/null
+++ b/internal/peers/message_test.go
@@ -0,0 +1,71 @@
+package peers
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+	"github.com/vmihailenco/msgpack/v5"
+
+	"github.com/poststand/poststand/mirror"
+)
+
+// These structs have the field names that are sent. Some fields of the messages themselves have
+// other names in Go.
+type (
+	sentPermitRequest struct {
+		Word ReplicaLimit
+		Rank int
+	}
+	sentPermit struct {
+		Word       ReplicaLimit
+		Given      bool
+		NextIn     time.Duration
+		NotLimiter bool
+	}
+	sentLimits  struct{ Words []ReplicaLimit }
+	sentRecords struct {
+		Delta     mirror.Delta
+		Ages      []time.Duration
+		Histories []History
+		Onward    bool
+	}
+	sentHeldRecords struct {
+		Records sentRecords
+		Left    []time.Duration
+	}
+)
+
+// A message encoded by name must keep its field names when a field of the Go struct is renamed:
+// otherwise builds before and after the rename silently read zero values from each other.
+func TestFieldNamesInMessagesAreStable(t *testing.T) {
+	limit := ReplicaLimit{ID: "r", Born: 3, Named: true, PerSecond: 1.5, AskedAge: 2, HeardAge: 1}
+	delta := mirror.Delta{Base: 1, At: 2, Records: []mirror.Record{{Key: "k", Value: []byte("v"), Rev: 2}}}
+	ages, histories := []time.Duration{7}, []History{{GapAges: []time.Duration{8}}}
+	for _, tc := range []struct {
+		name       string
+		sent, here any
+	}{
+		{"permit request", &sentPermitRequest{limit, 2}, &PermitRequest{limit, 2}},
+		{"permit", &sentPermit{limit, true, 4, true}, &Permit{limit, true, 4, true}},
+		{"limits", &sentLimits{[]ReplicaLimit{limit}}, &ReplicaLimits{[]ReplicaLimit{limit}}},
+		{
+			"held records",
+			&sentHeldRecords{sentRecords{delta, ages, histories, true}, []time.Duration{9}},
+			&HeldRecords{Records{delta, ages, histories, true}, []time.Duration{9}},
+		},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			is := is.New(t)
+			sent, err := msgpack.Marshal(tc.sent)
+			is.NoErr(err)
+			here, err := msgpack.Marshal(tc.here)
+			is.NoErr(err)
+			is.Equal(here, sent)
+			got := reflect.New(reflect.TypeOf(tc.here).Elem()).Interface()
+			is.NoErr(msgpack.Unmarshal(sent, got))
+			is.Equal(got, tc.here)
+		})
+	}
+}
--- a/internal/peers/push.go
+++ b/internal/peers/push.go
@@ -115,7 +115,7 @@
 		d = deltaWithoutEra(d)
 	}
 	m := newRecords(d, time.Now())
-	m.Onward = forward
+	m.ForwardInHall = forward
 	g.send(ctx, addr, m) // Announcements make up for a lost push.
 }
 
@@ -124,11 +124,11 @@
 	prev := g.Mirror.At()
 	r.dropHistory()
 	g.mu.Lock()
-	if r.Onward {
+	if r.ForwardInHall {
 		g.forwardAt = max(g.forwardAt, r.Delta.At) // Before Apply, which wakes the goroutine that forwards changes.
 	}
 	g.mu.Unlock()
 	if applied := g.Mirror.Apply(g.Follower.withLowerBounds(r.Delta)); !applied || r.Delta.At > prev {
-		telemetry.Log("push_received", "had", prev, "since", r.Delta.Base, "at", r.Delta.At, "records", len(r.Delta.Records), "taken", applied, "onward", r.Onward)
+		telemetry.Log("push_received", "had", prev, "since", r.Delta.Base, "at", r.Delta.At, "records", len(r.Delta.Records), "taken", applied, "onward", r.ForwardInHall)
 	}
 }
--- a/internal/relay/limitnews.go
+++ b/internal/relay/limitnews.go
@@ -85,8 +85,8 @@
 
 func (g *Relay) serveLimitWords(_ context.Context, s *wire.Stream, m *peers.ReplicaLimits) {
 	now := time.Now()
-	for i := range m.Words {
-		if w := &m.Words[i]; w.Valid() {
+	for i := range m.Limits {
+		if w := &m.Limits[i]; w.Valid() {
 			g.receiveLimit(w, now, maxTransit, s.Conn().Remote().Box)
 		}
 	}
--- a/internal/relay/permit.go
+++ b/internal/relay/permit.go
@@ -70,7 +70,7 @@
 // it has one. If not, the table knows when to ask again.
 func (g *Relay) obtainPermit(ctx context.Context, rq *request, to *route.Choice) bool {
 	now := time.Now()
-	ask := &peers.PermitRequest{Word: limitMessage(to.Incarnation, to.Limit, now), Rank: rq.rank}
+	ask := &peers.PermitRequest{Limit: limitMessage(to.Incarnation, to.Limit, now), Rank: rq.rank}
 	k := g.limiterOf(to.ID)
 	if again := g.limiterBackoffUntil(now, k.addr); !again.IsZero() {
 		g.table.RecordNoPermit(to.Reservation, 0, again)
@@ -92,8 +92,8 @@
 		g.table.RecordNoPermit(to.Reservation, 0, now.Add(limiterMovedDelay))
 		return false
 	}
-	g.mergeLimit(&p.Word, now.Add(-p.Word.AskedAge), k.addr)
-	if !p.Given {
+	g.mergeLimit(&p.Limit, now.Add(-p.Limit.AskedAge), k.addr)
+	if !p.Granted {
 		g.Metrics.Event("permit_refused", "")
 		g.table.RecordNoPermit(to.Reservation, rq.rank, time.Now().Add(p.NextIn))
 		return false
@@ -131,7 +131,7 @@
 }
 
 func (g *Relay) serveAskPermit(ctx context.Context, s *wire.Stream, m *peers.PermitRequest) {
-	if !m.Word.Valid() {
+	if !m.Limit.Valid() {
 		_ = s.Fail(ctx, fault.New(fault.BadRequest, "limit"))
 		return
 	}
@@ -140,25 +140,25 @@
 
 // grantPermit answers who asks for a permit, as the limiter of its replica.
 func (g *Relay) grantPermit(now time.Time, m *peers.PermitRequest, from string) *peers.Permit {
-	k := g.limiterOf(m.Word.ID)
+	k := g.limiterOf(m.Limit.ID)
 	if k.addr != g.Settings.Listen || !g.membersLearnt() {
-		g.deleteLimiterState(m.Word.ID)
-		return &peers.Permit{NotLimiter: true, Word: m.Word}
+		g.deleteLimiterState(m.Limit.ID)
+		return &peers.Permit{NotLimiter: true, Limit: m.Limit}
 	}
-	g.receiveLimit(&m.Word, now, permitTimeout, from)
-	l := g.table.Limit(m.Word.Life())
-	p := &peers.Permit{Word: limitMessage(m.Word.Life(), l, now)}
+	g.receiveLimit(&m.Limit, now, permitTimeout, from)
+	l := g.table.Limit(m.Limit.Life())
+	p := &peers.Permit{Limit: limitMessage(m.Limit.Life(), l, now)}
 	if !l.Named {
-		p.Given = true
+		p.Granted = true
 		return p
 	}
 	var next time.Time
-	p.Given, next = g.issuePermit(now, m.Word.Life(), k.share(l.PerSecond), m.Rank)
-	if !p.Given {
+	p.Granted, next = g.issuePermit(now, m.Limit.Life(), k.share(l.PerSecond), m.Rank)
+	if !p.Granted {
 		p.NextIn = next.Sub(now)
 		return p
 	}
-	telemetry.Log("permit_given", "id", m.Word.ID, "to", from, "rank", m.Rank, "limit", l, "part", k.share(l.PerSecond), "gateways", k.live, "known", k.known)
+	telemetry.Log("permit_given", "id", m.Limit.ID, "to", from, "rank", m.Rank, "limit", l, "part", k.share(l.PerSecond), "gateways", k.live, "known", k.known)
 	return p
 }
 
