--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -27,7 +27,7 @@
 	pullTimeout         = 2 * time.Second
 	// A gateway that watches the platform pushes changes to its hall up to this size. Larger
 	// changes are announced, and the others pull them from one another.
-	maxPushBytes = 16 << 10 // Bytes.
+	maxPushBytes = 16 << 10
 	// maxFullPushBytes is the limit for a push of all records, which follows changes that no
 	// watch reported: these are late already.
 	maxFullPushBytes = 96 << 10
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -99,7 +99,7 @@
 		return c.accept(f)
 	}
 	if f.kind == kindCancel {
-		s.cancel(fault.New(fault.Cancelled, "cancelled by the peer"))
+		s.cancel(fault.New(fault.Cancelled, "by the peer"))
 		return nil
 	}
 	select {
