--- a/cmd/poststand/cmd/relay.go
+++ b/cmd/poststand/cmd/relay.go
@@ -32,7 +32,7 @@
 				return err
 			}
 			t := &platform.Translator{OnInvalid: badRecord}
-			g, err := relay.New(s, relay.Options{Headers: platform.Dialect, Follower: follow(s.Store), BuildCatalog: t.Catalog, Keeps: platform.KeepsHistory, Outlasts: platform.Precedence})
+			g, err := relay.New(s, relay.Options{Headers: platform.Dialect, Follower: follow(s.Store), BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.Precedence})
 			if err != nil {
 				return err
 			}
--- a/internal/direct/process_test.go
+++ b/internal/direct/process_test.go
@@ -30,7 +30,7 @@
 			GraceFor: 8 * time.Second, VersionWithin: versionWithin, ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second,
 			RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 30,
 		},
-	}, relay.Options{Headers: platform.Dialect, BuildCatalog: t.Catalog, Keeps: platform.KeepsHistory, Outlasts: platform.Precedence, Follower: f, Dial: w.dialer(g.addr)})
+	}, relay.Options{Headers: platform.Dialect, BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.Precedence, Follower: f, Dial: w.dialer(g.addr)})
 	if err != nil {
 		w.t.Error(err)
 		return
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -10,104 +10,107 @@
 	"github.com/poststand/poststand/route"
 )
 
-// versionMargin is how long before the bound no request may begin on an older
-// version: this process heard of the newer one later than the platform said so.
+// versionMargin is subtracted from the deadline for starting requests on an older version,
+// because this gateway learns of a newer version later than the platform announces it.
 const versionMargin = 800 * time.Millisecond
 
-// versionDeadline returns when requests of a service may no longer begin on a version,
-// zero for never.
+// versionDeadline returns the time after which no request of the service may start on a
+// version, or zero if there is no such time.
 func (g *Relay) versionDeadline(rq *request, version uint64) time.Time {
-	w := g.catalog.Get().Targets[rq.catalog.Config.Services[rq.service].Model]
-	t := w.SupersededAt(version)
-	if t.IsZero() {
-		return t
+	target := g.catalog.Get().Targets[rq.catalog.Config.Services[rq.service].Model]
+	supersededAt := target.SupersededAt(version)
+	if supersededAt.IsZero() {
+		return supersededAt
 	}
-	return t.Add(g.bounds.Load().VersionWithin - versionMargin)
+	return supersededAt.Add(g.bounds.Load().VersionWithin - versionMargin)
 }
 
-// transitMargin is for how long a request may be on its way to a replica whose version ends.
+// transitMargin allows for the transit time of a request to a replica whose version is about
+// to reach its deadline.
 const transitMargin = 200 * time.Millisecond
 
-// queueDeadline returns the latest deadline with which a request that waits at a replica does not begin
-// on a version after the time of that, zero for any.
+// queueDeadline returns the latest request deadline with which a request queued at a replica
+// can't start on a version after the version's deadline, or zero if any request deadline will
+// do.
 func (g *Relay) queueDeadline(rq *request, version uint64) time.Time {
-	b := g.versionDeadline(rq, version)
-	if b.IsZero() {
-		return b
+	deadline := g.versionDeadline(rq, version)
+	if deadline.IsZero() {
+		return deadline
 	}
-	return b.Add(versionMargin - transitMargin)
+	return deadline.Add(versionMargin - transitMargin)
 }
 
-// Admission, in parts of a route's aim: a request is sent only if what is ahead of it at
-// the chosen replica is predicted to take no longer. The answer to a new one is then most
-// likely in time. One that comes back after a refusal waits less: under lasting overload
-// they would else fill the replicas, all of them late, and new ones would be refused for
-// them.
+// Admission thresholds, as fractions of the route's latency target. A request is sent only if
+// the predicted queue wait at the chosen replica is within the threshold, so that a new
+// request is most likely answered in time. A retry after a refusal has the lower threshold:
+// under sustained overload, retries would otherwise fill the replicas, all of them late, and
+// new requests would be refused on their account.
 const (
 	firstTryShare = 0.55
 	retryTryShare = 0.4
 )
 
-// admits reports whether the request is worth sending now.
+// admits reports whether the predicted queue wait at the chosen replica is short enough to
+// send the request.
 func admits(rq *request, c route.Choice) bool {
 	if !c.Engine || rq.route.Aim <= 0 {
 		return true
 	}
-	part := firstTryShare
+	share := firstTryShare
 	if rq.retried {
-		part = retryTryShare
+		share = retryTryShare
 	}
-	return c.QueueWait <= time.Duration(part*float64(rq.route.Aim))
+	return c.QueueWait <= time.Duration(share*float64(rq.route.Aim))
 }
 
-// callerTimeouts remembers how long callers of each route usually say they wait.
+// callerTimeouts records the longest timeout that callers of each route have sent.
 type callerTimeouts struct {
 	mu      sync.Mutex
 	longest map[string]time.Duration // By route; bounded by the configuration.
 }
 
-// isRetry reports whether a caller has less time left than the callers of its
-// route begin with: it has most likely been here before.
-func (u *callerTimeouts) isRetry(routeName string, left time.Duration) bool {
-	const whole = 0.96
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.longest == nil {
-		u.longest = map[string]time.Duration{}
+// isRetry reports whether a caller has less time left than callers of its route start with,
+// which means that it has most likely been refused before.
+func (t *callerTimeouts) isRetry(routeName string, left time.Duration) bool {
+	const fullShare = 0.96
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.longest == nil {
+		t.longest = map[string]time.Duration{}
 	}
-	if left > u.longest[routeName] {
-		u.longest[routeName] = left
+	if left > t.longest[routeName] {
+		t.longest[routeName] = left
 	}
-	return float64(left) < whole*float64(u.longest[routeName])
+	return float64(left) < fullShare*float64(t.longest[routeName])
 }
 
-// prune drops routes that are no longer configured.
-func (u *callerTimeouts) prune(routes map[string]config.Route) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for name := range u.longest {
+// prune removes routes that are no longer configured.
+func (t *callerTimeouts) prune(routes map[string]config.Route) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for name := range t.longest {
 		if _, ok := routes[name]; !ok {
-			delete(u.longest, name)
+			delete(t.longest, name)
 		}
 	}
 }
 
-// retryAfterRest is when a caller should try again whose request all replicas that could run it
-// have asked not to be sent before a time. Callers are spread from then on: the replicas
-// would else have all of them at once again.
-func retryAfterRest(now, back time.Time) time.Time {
-	const least, most = 350 * time.Millisecond, 1500 * time.Millisecond
-	spread := max(least, min(most, back.Sub(now)/2))
-	return times.Later(back, now.Add(least)).Add(rand.N(spread))
+// retryAfterBackoff returns when a caller should retry after all replicas that could run its
+// request have asked for no requests until back. Retries are spread out from then on, so that
+// the replicas do not receive all callers at once.
+func retryAfterBackoff(now, until time.Time) time.Time {
+	const minDelay, maxSpread = 350 * time.Millisecond, 1500 * time.Millisecond
+	spread := max(minDelay, min(maxSpread, until.Sub(now)/2))
+	return times.Later(until, now.Add(minDelay)).Add(rand.N(spread))
 }
 
-// retryTime is when a refused caller should try again: when what was ahead of it
-// is done, or, where no replica may be used at all, a good while later.
-func (g *Relay) retryTime(now time.Time, rq *request, ahead time.Duration) time.Time {
-	const least, most, none = 350 * time.Millisecond, 1500 * time.Millisecond, 1400 * time.Millisecond
-	wait := none
-	if ahead > 0 {
-		wait = max(least, min(most, ahead))
+// retryTime returns when a refused caller should retry: once the predicted queue ahead of it
+// is done, or, if no replica is usable, after a fixed wait. Jitter is added to both.
+func (g *Relay) retryTime(now time.Time, rq *request, queueWait time.Duration) time.Time {
+	const minDelay, maxDelay, defaultDelay = 350 * time.Millisecond, 1500 * time.Millisecond, 1400 * time.Millisecond
+	delay := defaultDelay
+	if queueWait > 0 {
+		delay = max(minDelay, min(maxDelay, queueWait))
 	}
-	return now.Add(wait + rand.N(wait/2+1))
+	return now.Add(delay + rand.N(delay/2+1))
 }
--- a/internal/relay/agents.go
+++ b/internal/relay/agents.go
@@ -11,32 +11,32 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// minAssignInterval is the least time between two assignments to an agent that differ only
-// in who else there is: while replicas come and go all the time, an agent needs no word
-// of each, and its box's link is small.
+// minAssignInterval is the minimum interval between two assignments to an agent while its
+// model, version and origin stay the same. Replicas come and go all the time, an agent does
+// not need each such change at once, and the link of its box is small.
 const minAssignInterval = 400 * time.Millisecond
 
-// serveSubscribe tells an agent what concerns it, now and at each change.
+// serveSubscribe sends an agent its assignment, at once and on each change.
 func (g *Relay) serveSubscribe(ctx context.Context, s *wire.Stream, m *peers.Subscribe) {
-	const look = 500 * time.Millisecond
+	const checkInterval = 500 * time.Millisecond
 	telemetry.Log("agent_gained", "addr", m.Addr, "service", m.Service)
 	defer telemetry.Log("agent_lost", "addr", m.Addr)
-	began := time.Now()
-	peers.LearnQuarantine(&g.suspects, began, began, m.Quarantined, m.Addr)
-	var sent peers.Assignment
+	subscribedAt := time.Now()
+	peers.LearnQuarantine(&g.suspects, subscribedAt, subscribedAt, m.Quarantined, m.Addr)
+	var last peers.Assignment
 	var notBefore time.Time
 	for {
 		c, changed := g.catalog.Watch()
 		now := time.Now()
 		a := g.assignment(c, s.Conn().Remote().Hall, m, now)
-		if a != nil && !a.SameForAgent(&sent) && (a.UrgentChange(&sent) || !now.Before(notBefore)) {
+		if a != nil && !a.SameForAgent(&last) && (a.UrgentChange(&last) || !now.Before(notBefore)) {
 			a.At = g.gossip.PositionFor(s.Conn(), a.At)
 			if s.Send(ctx, a) != nil {
 				return
 			}
-			sent, notBefore = *a, now.Add(minAssignInterval)
+			last, notBefore = *a, now.Add(minAssignInterval)
 		}
-		t := time.NewTimer(look)
+		t := time.NewTimer(checkInterval)
 		select {
 		case <-changed:
 		case <-t.C:
@@ -48,8 +48,8 @@
 	}
 }
 
-// assignment works out what concerns an agent of a hall, or returns nil where that is not
-// known.
+// assignment returns the assignment for an agent in a hall, or nil if it can't be determined
+// yet.
 func (g *Relay) assignment(c *catalog.Catalog, hall string, m *peers.Subscribe, now time.Time) *peers.Assignment {
 	a := peers.Assign(c, m.Service, now)
 	if a == nil {
@@ -66,15 +66,15 @@
 	return a
 }
 
-// slowLinkDelay is how long a ping of an agent takes when what is sent to its box is long
-// on its way. While weights move it takes less.
-const slowLinkDelay = 400 * time.Millisecond
+// slowLinkRTT is the round-trip time of a ping from which the link to an agent's box counts as
+// slow. Transfers of weights alone cause shorter ones.
+const slowLinkRTT = 400 * time.Millisecond
 
-// serveStatus takes an agent's reports of its replica, again and again.
+// serveStatus receives an agent's status reports about its replica until the stream ends.
 func (g *Relay) serveStatus(ctx context.Context, s *wire.Stream, m *peers.Status) {
-	var old peers.Status
+	var last peers.Status
 	for {
-		m.SlowLink = m.SlowLink || s.Conn().RTT(time.Now()) >= slowLinkDelay
+		m.SlowLink = m.SlowLink || s.Conn().RTT(time.Now()) >= slowLinkRTT
 		if m.Reached {
 			now := time.Now()
 			r := route.AgentReport{
@@ -86,10 +86,10 @@
 				g.reports.add(m.Addr, r, true)
 			}
 		}
-		if m.Version != old.Version || m.Changing != old.Changing || m.Reached != old.Reached || m.SlowLink != old.SlowLink {
+		if m.Version != last.Version || m.Changing != last.Changing || m.Reached != last.Reached || m.SlowLink != last.SlowLink {
 			telemetry.Log("replica_told", "addr", m.Addr, "weights", m.Version, "changing", m.Changing, "reached", m.Reached, "slow_link", m.SlowLink, "missing", m.MissingChunks)
 		}
-		old = *m
+		last = *m
 		next, err := s.Recv(ctx)
 		var ok bool
 		if m, ok = next.(*peers.Status); err != nil || !ok {
@@ -98,7 +98,8 @@
 	}
 }
 
-// changeAt is when a replica will change its version, by a report that came at now.
+// changeAt returns when a replica will change its version, given the time left according to a
+// report received at now. It is zero if no change is expected.
 func changeAt(in time.Duration, now time.Time) time.Time {
 	if in <= 0 {
 		return time.Time{}
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// answer gives one caller its answer: a plain one only once it is whole, a
-// stream as its events come.
+// answer writes the response to one caller: a plain answer only once it is complete, a stream
+// event by event.
 type answer struct {
 	relay      *Relay
 	w          http.ResponseWriter
 	rq         *request
-	started    bool // Something has gone to the caller.
+	started    bool // Part of the answer has been sent to the caller.
 	firstAt    time.Time
-	lastAt     time.Time     // When the last event went to the caller; zero before.
-	longestGap time.Duration // The longest between two events.
+	lastAt     time.Time     // When the last event was sent to the caller; zero before.
+	longestGap time.Duration // Between two events.
 
-	// A failure of a replica, kept in case no other send does better.
+	// The failure response of a replica, kept in case no other attempt does better.
 	failureHeader http.Header
 	failureStatus int
 	failureBody   []byte
 }
 
-// callerWriteTimeout is how long a caller may take to read what is there.
+// callerWriteTimeout is how long a caller may take to read what is written to it.
 const callerWriteTimeout = 10 * time.Second
 
-func (o *answer) writeHead(status int, from http.Header, length int) {
+func (o *answer) writeHead(status int, header http.Header, length int) {
 	h := o.w.Header()
-	in := from.Clone()
-	removeHopByHop(in)
-	in.Del("Content-Length")
-	for k, v := range in {
+	endToEnd := header.Clone()
+	removeHopByHop(endToEnd)
+	endToEnd.Del("Content-Length")
+	for k, v := range endToEnd {
 		h[k] = v
 	}
 	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil // Nothing is added to what the replica said.
+		h["Content-Type"] = nil // Keeps net/http from adding a header that the replica did not send.
 	}
 	if h.Get("Date") == "" {
 		h["Date"] = nil
@@ -50,20 +50,20 @@
 	o.firstAt = time.Now()
 }
 
-// writeWhole gives the caller a whole answer.
+// writeWhole writes a complete answer to the caller.
 func (o *answer) writeWhole(resp *http.Response, data []byte) error {
 	o.writeHead(resp.StatusCode, resp.Header, len(data))
 	_, err := o.w.Write(data)
 	return err
 }
 
-// keepFailure keeps a replica's own failure.
+// keepFailure stores the failure response of a replica.
 func (o *answer) keepFailure(resp *http.Response, data []byte) {
 	o.failureHeader, o.failureStatus, o.failureBody = resp.Header, resp.StatusCode, data
 }
 
-// writeFailure gives the caller the replica's own failure, if there was one that
-// promises nothing, and reports whether there was.
+// writeFailure sends the stored failure response to the caller, if there is one and its status
+// does not suggest that the request can be retried (408, 429, 503). It reports whether it did.
 func (o *answer) writeFailure() bool {
 	switch o.failureStatus {
 	case 0, http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
@@ -77,7 +77,7 @@
 	return true
 }
 
-// writeEvents passes on whole events at once. The answer keeps the head of the
+// writeEvents passes on complete events without delay. The answer keeps the header of the
 // replica that began it.
 func (o *answer) writeEvents(resp *http.Response, b []byte) error {
 	if !o.started {
@@ -96,7 +96,7 @@
 	return rc.Flush()
 }
 
-// finish ends a stream that is whole.
+// finish ends a complete stream. It writes the header if there were no events.
 func (o *answer) finish(resp *http.Response) error {
 	if !o.started {
 		o.writeHead(resp.StatusCode, resp.Header, -1)
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -14,18 +14,18 @@
 	"github.com/poststand/poststand/route"
 )
 
-// Waits and bounds of one send.
+// Timeouts and limits of one attempt.
 const (
-	minFirstWait    = 900 * time.Millisecond // A repeatable request waits this long for a sign,
-	firstWaitFactor = 4                      // or so many times what was predicted, whichever is more.
-	minGapWait      = 900 * time.Millisecond // The same for the next event of a stream,
-	gapWaitFactor   = 2                      // in gaps that its route allows.
-	maxStrayAnswers = 3                      // Answers to other requests that are passed over.
+	minFirstWait    = 900 * time.Millisecond // Minimum time that a repeatable request waits for its first data,
+	firstWaitFactor = 4                      // and the multiple of the predicted time that it waits, if that is longer.
+	minGapWait      = 900 * time.Millisecond // Minimum time to wait for the next event of a stream,
+	gapWaitFactor   = 2                      // and the multiple of the gap that the route allows, if that is longer.
+	maxStrayAnswers = 3                      // Responses skipped before the connection is abandoned.
 	maxAnswerBytes  = 16 << 20
 	maxEventBytes   = 1 << 20
 )
 
-// attempt is one send of a request to one replica.
+// attempt is one try at sending a request to a replica.
 type attempt struct {
 	relay       *Relay
 	rq          *request
@@ -33,39 +33,38 @@
 	to          route.Choice
 	startedAt   time.Time
 	conn        *conn
-	stopAbort   func() bool    // Ends the watch over the caller's going away.
-	resp        *http.Response // Its head has come already, where the stream was begun before this attempt runs.
-	headTimeout time.Duration  // If set, the head is waited for no longer.
+	stopAbort   func() bool    // Stops the abort of conn on cancellation by the caller.
+	resp        *http.Response // Set in advance if the stream was opened before this attempt runs.
+	headTimeout time.Duration  // If set, limits the wait for the response header.
 	idleTimeout time.Duration
-	// firstAt is when the first event or the whole answer came; zero before.
+	// firstAt is when the first event or the complete answer arrived; zero before.
 	firstAt time.Time
-	round   int    // Of the strike, if the replica ends under it,
-	epoch   uint64 // and of what was known of the request when it was sent.
-	end     route.RequestResult
+	round   int    // Of the strike, if the replica terminates during this attempt.
+	epoch   uint64 // Of the quarantine verdict when the request was sent.
+	result  route.RequestResult
 	status  int
 }
 
-// run sends the request and passes on the answer. Its result is of this send
-// alone.
+// run sends the request and passes on the answer. The result covers this attempt only.
 func (a *attempt) run(ctx context.Context) dispatch.Result {
 	res := a.exchange(ctx)
 	a.finish(ctx, res)
 	return res
 }
 
-// finish counts how the attempt ended.
+// finish reports the end of the attempt to the routing table.
 func (a *attempt) finish(ctx context.Context, res dispatch.Result) {
 	now := time.Now()
-	a.end.Answered = a.status != 0
+	a.result.Answered = a.status != 0
 	switch res.Reason {
 	case fault.Unreachable, fault.Closed, fault.Stalled, fault.Truncated, fault.Garbage, fault.UpstreamFailed, fault.MixedVersion:
-		a.end.Failed = ctx.Err() == nil
+		a.result.Failed = ctx.Err() == nil
 	case fault.QueueFull:
-		a.end.Full = true
+		a.result.Full = true
 	case fault.WrongVersion:
-		a.end.NotHeld = true
+		a.result.NotHeld = true
 	}
-	a.relay.table.Done(now, a.to.Reservation, a.end)
+	a.relay.table.Done(now, a.to.Reservation, a.result)
 }
 
 func notRun(c fault.Code) dispatch.Result {
@@ -77,47 +76,47 @@
 }
 
 func (a *attempt) exchange(ctx context.Context) dispatch.Result {
-	resp, res, keep := a.resp, dispatch.Result{}, false
+	resp, res, reuse := a.resp, dispatch.Result{}, false
 	if resp == nil {
 		resp, res = a.open(ctx)
 	}
 	if resp != nil {
-		res, keep = a.forward(ctx, resp)
+		res, reuse = a.forward(ctx, resp)
 	}
-	a.release(keep)
+	a.release(reuse)
 	return res
 }
 
-// release keeps the connection for another request, or ends it.
-func (a *attempt) release(keep bool) {
+// release returns the connection to the pool, or aborts it if it can't be reused.
+func (a *attempt) release(reuse bool) {
 	if a.conn == nil {
 		return
 	}
-	if a.stopAbort() && keep && a.conn.r.Buffered() == 0 {
+	if a.stopAbort() && reuse && a.conn.r.Buffered() == 0 {
 		a.relay.conns.put(a.to.Incarnation, a.conn, a.idleTimeout)
 		return
 	}
 	a.conn.abort()
 }
 
-// open sends the request and reads the head of its answer. Without one the result
-// says why.
+// open sends the request and reads the response header. If there is no response, the result
+// gives the reason.
 func (a *attempt) open(ctx context.Context) (*http.Response, dispatch.Result) {
 	a.startedAt = time.Now()
-	rest := maxIdle
+	idleLimit := maxIdle
 	if !a.rq.repeatable() {
-		rest = maxIdleUnsafe
+		idleLimit = maxIdleUnsafe
 	}
 	dctx, cancel := context.WithDeadline(ctx, a.rq.deadline)
 	defer cancel()
-	c, err := a.relay.conns.get(dctx, a.to.Incarnation, a.to.Addr, rest)
+	c, err := a.relay.conns.get(dctx, a.to.Incarnation, a.to.Addr, idleLimit)
 	if err != nil {
 		if ctx.Err() != nil {
 			return nil, notRun(fault.Cancelled)
 		}
 		return nil, notRun(fault.Unreachable)
 	}
-	// A new connection may have taken seconds, in which the replica has said more.
+	// Dialling may have taken seconds, in which the replica may have withdrawn.
 	if code := a.relay.table.Recheck(time.Now(), a.to.Reservation); code != "" {
 		_ = c.Close()
 		a.relay.Metrics.Event("request_withdrawn", string(code))
@@ -134,21 +133,21 @@
 	return a.readHead(ctx)
 }
 
-// send writes the whole request in one piece. It returns how many bytes went.
+// send writes the whole request at once and returns the number of bytes written.
 func (a *attempt) send() (int, error) {
-	rq, d := a.rq, a.relay.headers
-	left := time.Until(a.deadline())
-	if left < time.Millisecond {
+	rq, names := a.rq, a.relay.headers
+	remaining := time.Until(a.deadline())
+	if remaining < time.Millisecond {
 		return 0, fault.New(fault.PastDeadline, "")
 	}
 	h := rq.header.Clone()
-	h.Set(d.Deadline, strconv.FormatInt(left.Milliseconds(), 10))
-	h.Set(d.ExpectReplica, a.to.ID)
+	h.Set(names.Deadline, strconv.FormatInt(remaining.Milliseconds(), 10))
+	h.Set(names.ExpectReplica, a.to.ID)
 	if rq.lastEventID != "" {
-		h.Set(d.LastEventID, rq.lastEventID)
+		h.Set(names.LastEventID, rq.lastEventID)
 	}
 	if v := a.expectedVersion(); v > 0 {
-		h.Set(d.ExpectVersion, strconv.FormatUint(v, 10))
+		h.Set(names.ExpectVersion, strconv.FormatUint(v, 10))
 	}
 	if len(rq.body) > 0 || rq.method != http.MethodGet && rq.method != http.MethodHead {
 		h.Set("Content-Length", strconv.Itoa(len(rq.body)))
@@ -166,7 +165,7 @@
 	return a.conn.Write(b.Bytes())
 }
 
-// deadline is until when the replica may work on the request.
+// deadline returns the time by which the replica must have finished the request.
 func (a *attempt) deadline() time.Time {
 	if a.to.Deadline.IsZero() {
 		return a.rq.deadline
@@ -174,19 +173,20 @@
 	return times.Earlier(a.rq.deadline, a.to.Deadline)
 }
 
-// expectedVersion is the version that alone may run the request, or 0: the one that the answer
-// began with, the newest where the replica is believed to hold it, and any once the time of
-// older ones is over. A request that was sent on a wrong belief would else begin on the
-// older version, and nothing would give it up when the time of that is over.
+// expectedVersion returns the only version that may run the request, or 0 if any may. If the
+// answer has begun, it is the version of that part. Otherwise it is the replica's version if
+// that is the newest, or if the deadline of older versions has passed. Without it, a request
+// sent on outdated information would start on the older version, and nothing would cancel it
+// at that version's deadline.
 func (a *attempt) expectedVersion() uint64 {
 	if a.rq.version > 0 {
 		return a.rq.version
 	}
-	before := a.relay.versionDeadline(a.rq, 0)
-	if !a.to.Engine || before.IsZero() {
+	olderDeadline := a.relay.versionDeadline(a.rq, 0)
+	if !a.to.Engine || olderDeadline.IsZero() {
 		return 0
 	}
-	if a.relay.versionDeadline(a.rq, a.to.Version).IsZero() || !time.Now().Before(before) {
+	if a.relay.versionDeadline(a.rq, a.to.Version).IsZero() || !time.Now().Before(olderDeadline) {
 		return a.to.Version
 	}
 	return 0
@@ -199,9 +199,11 @@
 	return max(minFirstWait, firstWaitFactor*a.to.Predicted)
 }
 
-// readDeadline is until when a sign is waited for: one that may go elsewhere waits only for a
-// while, and none begins on a version whose time is over. One that may not be repeated is
-// given up at that time too: it would begin up to its caller's deadline later.
+// readDeadline returns when to stop waiting for data. A request that may be repeated waits for
+// at most wait, so that it can go to another replica. Before its first data, any request also
+// stops at the deadline of the replica's version, so that none starts on a version past its
+// deadline. That includes requests that may not be repeated: they could otherwise start as
+// late as their caller's deadline.
 func (a *attempt) readDeadline(now time.Time, wait time.Duration) time.Time {
 	t := a.rq.deadline
 	if a.rq.repeatable() {
@@ -210,13 +212,13 @@
 	if !a.firstAt.IsZero() || !a.to.Engine {
 		return t
 	}
-	if bound := a.relay.versionDeadline(a.rq, a.to.Version); !bound.IsZero() {
-		t = times.Earlier(t, bound)
+	if deadline := a.relay.versionDeadline(a.rq, a.to.Version); !deadline.IsZero() {
+		t = times.Earlier(t, deadline)
 	}
 	return t
 }
 
-// connectionResult is the result of a connection that failed under a request.
+// connectionResult returns the result of a request whose connection failed with err.
 func (a *attempt) connectionResult(ctx context.Context, err error) dispatch.Result {
 	switch {
 	case ctx.Err() != nil:
@@ -229,9 +231,9 @@
 	return unknown(fault.Closed)
 }
 
-// readHead reads the head of the answer to this request, past answers to others.
+// readHead reads the header of the response to this request, skipping responses to others.
 func (a *attempt) readHead(ctx context.Context) (*http.Response, dispatch.Result) {
-	d := a.relay.headers
+	names := a.relay.headers
 	req := &http.Request{Method: a.rq.method}
 	for range maxStrayAnswers {
 		resp, err := http.ReadResponse(a.conn.r, req)
@@ -242,7 +244,7 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if id := resp.Header.Get(d.RequestID); id == "" || id == a.rq.id {
+		if id := resp.Header.Get(names.RequestID); id == "" || id == a.rq.id {
 			return resp, dispatch.Result{}
 		}
 		a.relay.Metrics.Event("stray_answer", "")
@@ -253,24 +255,24 @@
 	return nil, unknown(fault.Garbage)
 }
 
-// forward passes on an answer, and says whether its connection may be used again.
+// forward passes on an answer and reports whether its connection can be reused.
 func (a *attempt) forward(ctx context.Context, resp *http.Response) (dispatch.Result, bool) {
-	d := a.relay.headers
+	names := a.relay.headers
 	a.status = resp.StatusCode
-	if id := resp.Header.Get(d.Incarnation); resp.StatusCode == http.StatusMisdirectedRequest && id != "" && id != a.to.ID {
+	if id := resp.Header.Get(names.Incarnation); resp.StatusCode == http.StatusMisdirectedRequest && id != "" && id != a.to.ID {
 		a.relay.table.MarkLeaving(a.to.Incarnation, time.Now())
 	}
-	if resp.Close { // Some say so as they leave, others now and then: it decides nothing.
+	if resp.Close { // Counted only: not all replicas that send it are leaving.
 		a.relay.Metrics.Event("upstream_closing", "")
 	}
 	a.idleTimeout = keepAliveTimeout(resp.Header.Get("Keep-Alive"))
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-	again := framed && !resp.Close
-	if resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(d.NotRun) != "" {
-		return a.refusal(resp), again
+	reusable := framed && !resp.Close
+	if resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(names.NotRun) != "" {
+		return a.refusal(resp), reusable
 	}
-	if v, err := strconv.ParseUint(resp.Header.Get(d.Version), 10, 64); err == nil {
-		a.end.Version = v
+	if v, err := strconv.ParseUint(resp.Header.Get(names.Version), 10, 64); err == nil {
+		a.result.Version = v
 		if a.rq.version > 0 && v != a.rq.version {
 			return unknown(fault.MixedVersion), false
 		}
@@ -280,7 +282,7 @@
 	}
 	if a.rq.route.Kind == streamKind && resp.StatusCode == http.StatusOK {
 		err := a.stream(ctx, resp, framed)
-		return a.bodyResult(ctx, err), again && err == nil
+		return a.bodyResult(ctx, err), reusable && err == nil
 	}
 	if a.out.started {
 		return unknown(fault.UpstreamFailed), false
@@ -293,14 +295,14 @@
 		return a.bodyResult(ctx, err), false
 	}
 	a.recordFirst()
-	if resp.StatusCode >= http.StatusInternalServerError || resp.Header.Get(d.Signature) == "" {
+	if resp.StatusCode >= http.StatusInternalServerError || resp.Header.Get(names.Signature) == "" {
 		a.out.keepFailure(resp, data)
-		return unknown(fault.UpstreamFailed), again
+		return unknown(fault.UpstreamFailed), reusable
 	}
 	if err := a.out.writeWhole(resp, data); err != nil {
-		return unknown(fault.Cancelled), again
+		return unknown(fault.Cancelled), reusable
 	}
-	return dispatch.Result{Outcome: dispatch.Done}, again
+	return dispatch.Result{Outcome: dispatch.Done}, reusable
 }
 
 func (a *attempt) refusal(resp *http.Response) dispatch.Result {
@@ -311,7 +313,7 @@
 	return notRun(fault.QueueFull)
 }
 
-// bodyResult is the result of an answer whose body ended with err.
+// bodyResult returns the result of an answer whose body ended with err.
 func (a *attempt) bodyResult(ctx context.Context, err error) dispatch.Result {
 	switch {
 	case err == nil:
@@ -324,7 +326,7 @@
 	return a.connectionResult(ctx, err)
 }
 
-// recordFirst records the first sign of the answer.
+// recordFirst records the arrival of the first data.
 func (a *attempt) recordFirst() {
 	if a.firstAt.IsZero() {
 		a.firstAt = time.Now()
--- a/internal/relay/callers.go
+++ b/internal/relay/callers.go
@@ -16,10 +16,10 @@
 	"github.com/poststand/poststand/internal/telemetry"
 )
 
-// bearer precedes a key.
+// bearer is the prefix of an API key in the Authorization header.
 const bearer = "Bearer "
 
-// ServeHTTP answers one request of a caller.
+// ServeHTTP handles one request of a caller.
 func (g *Relay) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	rq, err := g.readRequest(w, r, began)
@@ -36,19 +36,19 @@
 		return
 	}
 	if out.started {
-		// Part of the answer is with the caller; it must look cut short.
+		// Part of the answer has been sent; the abort shows the caller that it is truncated.
 		panic(http.ErrAbortHandler)
 	}
 	g.refuse(w, r, rq, res, nil)
 }
 
-// readRequest takes a request in and finds out what it may do. The request it returns
-// with an error has only what was known by then.
+// readRequest reads and checks a request and determines its route, organisation, deadline and
+// service. If it returns an error, only the fields set by then are filled in.
 func (g *Relay) readRequest(w http.ResponseWriter, r *http.Request, now time.Time) (*request, error) {
-	d := g.headers
+	names := g.headers
 	rq := &request{
-		id: r.Header.Get(d.RequestID), method: r.Method, target: r.RequestURI, host: r.Host,
-		catalog: g.catalog.Get(), arrivedAt: now, lastEventID: r.Header.Get(d.LastEventID),
+		id: r.Header.Get(names.RequestID), method: r.Method, target: r.RequestURI, host: r.Host,
+		catalog: g.catalog.Get(), arrivedAt: now, lastEventID: r.Header.Get(names.LastEventID),
 	}
 	c := rq.catalog
 	if c.Config == nil {
@@ -63,22 +63,22 @@
 		return rq, err
 	}
 	if rq.id == "" {
-		return rq, fault.New(fault.BadRequest, "no "+d.RequestID)
+		return rq, fault.New(fault.BadRequest, "missing header "+names.RequestID)
 	}
-	wait := rq.route.Timeout
-	if v := r.Header.Get(d.Deadline); v != "" {
+	timeout := rq.route.Timeout
+	if v := r.Header.Get(names.Deadline); v != "" {
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil || n < 0 || n > math.MaxInt32 {
-			return rq, fault.New(fault.BadRequest, d.Deadline)
+			return rq, fault.New(fault.BadRequest, names.Deadline)
 		}
 		left := time.Duration(n * float64(time.Millisecond))
 		rq.retried = g.timeouts.isRetry(rq.routeName, left)
-		wait = min(wait, left)
+		timeout = min(timeout, left)
 	}
-	rq.deadline = now.Add(wait)
+	rq.deadline = now.Add(timeout)
 	rq.service = chooseService(rq.route.Services)
-	rq.work = parseWork(d, r.Header, c.Config.Services[rq.service].Engine)
-	rq.header = rq.forwardedHeader(d, r.Header)
+	rq.workload = parseWorkload(names, r.Header, c.Config.Services[rq.service].Engine)
+	rq.header = rq.forwardedHeader(names, r.Header)
 	if err := rq.readBody(w, r, c.Config.Callers.BodyBytes); err != nil {
 		return rq, err
 	}
@@ -86,15 +86,15 @@
 	return rq, nil
 }
 
-// authenticate finds the organisation that a request is of.
+// authenticate determines the organisation of a request by its API key.
 func (rq *request) authenticate(authorization string) error {
 	rq.rank = rq.route.Rank
-	t := rq.catalog.Routing
-	if rq.route.Public || !t.Keyed {
+	routing := rq.catalog.Routing
+	if rq.route.Public || !routing.Keyed {
 		return nil
 	}
 	key, ok := strings.CutPrefix(authorization, bearer)
-	owner, known := t.Owner(strings.TrimSpace(key))
+	owner, known := routing.Owner(strings.TrimSpace(key))
 	if !ok || !known {
 		return fault.New(fault.UnknownKey, "")
 	}
@@ -105,21 +105,21 @@
 	return nil
 }
 
-// readBody takes the whole body, so that the request can be sent again and the
-// caller's going away is noticed.
-func (rq *request) readBody(w http.ResponseWriter, r *http.Request, most int) error {
-	const defaultMost = 4 << 20
-	if most <= 0 {
-		most = defaultMost
-	}
-	if r.ContentLength > int64(most) {
+// readBody reads the whole body, so that the request can be sent more than once and a
+// disconnect of the caller is detected.
+func (rq *request) readBody(w http.ResponseWriter, r *http.Request, maxBytes int) error {
+	const defaultMaxBytes = 4 << 20
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBytes
+	}
+	if r.ContentLength > int64(maxBytes) {
 		return fault.New(fault.TooLarge, "body")
 	}
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(rq.deadline)
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
 	var err error
-	if rq.body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, int64(most))); err == nil {
+	if rq.body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, int64(maxBytes))); err == nil {
 		return nil
 	}
 	var tooLarge *http.MaxBytesError
@@ -140,7 +140,7 @@
 	return host
 }
 
-// chooseService draws one of the services of a route by their weights.
+// chooseService picks one of a route's services at random by weight.
 func chooseService(weights map[string]int) string {
 	total := 0
 	for _, w := range weights {
@@ -152,9 +152,9 @@
 		}
 		return ""
 	}
-	at := rand.IntN(total)
+	n := rand.IntN(total)
 	for name, w := range weights {
-		if at -= max(0, w); at < 0 {
+		if n -= max(0, w); n < 0 {
 			return name
 		}
 	}
@@ -182,7 +182,7 @@
 	return http.StatusBadGateway
 }
 
-// refuse gives a caller its refusal, at once.
+// refuse sends the refusal of a request to its caller.
 func (g *Relay) refuse(w http.ResponseWriter, r *http.Request, rq *request, res dispatch.Result, err error) {
 	g.Metrics.Refused(res.Reason)
 	status := statusOf(res)
@@ -205,7 +205,7 @@
 	w.WriteHeader(status)
 }
 
-// setConnectionClose has a caller use its connection no more once the process drains.
+// setConnectionClose asks the caller not to reuse its connection while the process drains.
 func (g *Relay) setConnectionClose(h http.Header) {
 	if g.draining() {
 		h.Set("Connection", "close")
--- a/internal/relay/collect.go
+++ b/internal/relay/collect.go
@@ -12,79 +12,80 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Waits of passing reports on.
+// Intervals and limits for forwarding reports.
 const (
-	reportInterval          = 150 * time.Millisecond // Between two messages to a gateway of the own hall that tell of loads,
-	otherHallReportInterval = time.Second            // and to one of another hall.
-	urgentReportDelay       = 20 * time.Millisecond  // A change of what a replica takes waits no longer; others of that moment go along.
-	forwardCheckInterval    = 500 * time.Millisecond // Between two looks at who is to be told.
-	maxReportAge            = 2 * time.Second        // A report that is older is no longer passed on.
-	forwardRetryDelay       = 300 * time.Millisecond // After a gateway was lost.
+	reportInterval          = 150 * time.Millisecond // Between two messages to a gateway in the same hall if only loads change.
+	otherHallReportInterval = time.Second            // The same for a gateway in another hall.
+	urgentReportDelay       = 20 * time.Millisecond  // Delay of an urgent change, to send those that occur together in one message.
+	forwardCheckInterval    = 500 * time.Millisecond // Between two updates of the set of receivers.
+	maxReportAge            = 2 * time.Second        // Older reports are not forwarded.
+	forwardRetryDelay       = 300 * time.Millisecond // After the stream to a gateway was lost.
 )
 
-// reportBuffer is what agents have told this gateway, to be passed on to gateways that
-// they do not tell. The zero value is ready for use.
+// reportBuffer holds reports from agents, to be forwarded to gateways that those agents do not
+// report to. The zero value is ready for use.
 type reportBuffer struct {
 	mu      sync.Mutex
-	lastSeq uint64 // Numbers what was held, in its order.
+	lastSeq uint64 // Sequence number of the last report added.
 	reports map[string]bufferedReport
-	urgent  chan struct{} // Closed and replaced when something came that cannot wait.
+	urgent  chan struct{} // Closed and replaced when an urgent report is added.
 }
 
 type bufferedReport struct {
 	route.AgentReport
 	seq    uint64
-	direct bool // Its agent told this gateway itself.
+	direct bool // Received from the agent itself.
 }
 
-func (h *reportBuffer) init() {
-	if h.reports == nil {
-		h.reports = map[string]bufferedReport{}
-		h.urgent = make(chan struct{})
+func (b *reportBuffer) init() {
+	if b.reports == nil {
+		b.reports = map[string]bufferedReport{}
+		b.urgent = make(chan struct{})
 	}
 }
 
-// add takes a report of the replica at an address.
-func (h *reportBuffer) add(addr string, r route.AgentReport, direct bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.init()
-	old, ok := h.reports[addr]
+// add stores a report about the replica at an address, unless a newer one is stored. It is
+// urgent if more than the load has changed.
+func (b *reportBuffer) add(addr string, r route.AgentReport, direct bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.init()
+	old, ok := b.reports[addr]
 	if ok && r.ReceivedAt.Before(old.ReceivedAt) {
 		return
 	}
-	h.lastSeq++
-	h.reports[addr] = bufferedReport{AgentReport: r, seq: h.lastSeq, direct: direct}
+	b.lastSeq++
+	b.reports[addr] = bufferedReport{AgentReport: r, seq: b.lastSeq, direct: direct}
 	if !ok || !old.EqualExceptLoad(&r) {
-		close(h.urgent)
-		h.urgent = make(chan struct{})
+		close(b.urgent)
+		b.urgent = make(chan struct{})
 	}
 }
 
-// since returns the reports that came after a number, those from agents themselves
-// alone if direct is set, and the number to go on from. Of reports that wait for their
-// turn the newest one of each replica is left. The channel is closed when something
-// comes that cannot wait.
-func (h *reportBuffer) since(number uint64, direct bool, now time.Time) (out []peers.Report, last uint64, urgent <-chan struct{}) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.init()
-	for addr, r := range h.reports {
+// since returns the reports added after seq, the sequence number to continue from, and a
+// channel that is closed when an urgent report is added. If direct is set, it returns only
+// reports received from agents themselves. There is at most one report for each replica, the
+// newest.
+func (b *reportBuffer) since(seq uint64, directOnly bool, now time.Time) (out []peers.Report, last uint64, urgent <-chan struct{}) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.init()
+	for addr, r := range b.reports {
 		switch {
 		case now.Sub(r.ReceivedAt) > maxReportAge:
-			delete(h.reports, addr)
-		case r.seq > number && (r.direct || !direct):
+			delete(b.reports, addr)
+		case r.seq > seq && (r.direct || !directOnly):
 			out = append(out, peers.Report{
 				Addr: addr, Version: r.Version, Changing: r.Changing, ChangeIn: changeIn(r.ChangeAt, now),
 				Queued: r.Queued, Running: r.Running, Pace: r.Slowdown, FetchingWeights: r.ReceivingWeights, SlowLink: r.SlowLink, Age: now.Sub(r.ReceivedAt),
 			})
 		}
 	}
-	return out, h.lastSeq, h.urgent
+	return out, b.lastSeq, b.urgent
 }
 
-// changeIn is how long it is until a replica changes its version, or 0 where that is
-// not known.
+// changeIn returns the time left until a replica changes its version, or 0 if that is not
+// known.
 func changeIn(at, now time.Time) time.Duration {
 	if at.IsZero() {
 		return 0
@@ -92,30 +93,30 @@
 	return max(time.Millisecond, at.Sub(now))
 }
 
-// has reports whether there is something to pass on.
-func (h *reportBuffer) has(direct bool) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, r := range h.reports {
-		if r.direct || !direct {
+// has reports whether there are reports to forward.
+func (b *reportBuffer) has(directOnly bool) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, r := range b.reports {
+		if r.direct || !directOnly {
 			return true
 		}
 	}
 	return false
 }
 
-// serveReports takes what another gateway passes on.
+// serveReports receives reports that another gateway forwards.
 func (g *Relay) serveReports(ctx context.Context, s *wire.Stream, m *peers.Reports) {
 	for {
 		now := time.Now()
 		for _, r := range m.Replicas {
-			held := route.AgentReport{
+			report := route.AgentReport{
 				Version: r.Version, Changing: r.Changing, ChangeAt: changeAt(r.ChangeIn, now),
 				Queued: r.Queued, Running: r.Running, Slowdown: r.Pace, ReceivingWeights: r.FetchingWeights, SlowLink: r.SlowLink, ReceivedAt: now.Add(-r.Age),
 			}
-			g.table.UpdateReport(r.Addr, held)
+			g.table.UpdateReport(r.Addr, report)
 			if m.ForwardInHall {
-				g.reports.add(r.Addr, held, false)
+				g.reports.add(r.Addr, report, false)
 			}
 		}
 		next, err := s.Recv(ctx)
@@ -126,23 +127,23 @@
 	}
 }
 
-// forwardReports keeps passing on what agents tell: to each gateway of the own hall, and
-// to one of each other hall. It does nothing where agents tell all gateways themselves.
+// forwardReports forwards the reports of agents to each gateway in the same hall and to one
+// gateway in each other hall. It does nothing where agents report to all gateways themselves.
 func (g *Relay) forwardReports(ctx context.Context) error {
-	var here kernel.WorkerSet[peers.Member]
-	var afar kernel.WorkerSet[string]
-	defer here.Stop()
-	defer afar.Stop()
+	var hallWorkers kernel.WorkerSet[peers.Member]
+	var otherWorkers kernel.WorkerSet[string]
+	defer hallWorkers.Stop()
+	defer otherWorkers.Stop()
 	for ctx.Err() == nil {
 		live := g.gossip.Live()
-		here.Sync(ctx, g.hallReceivers(live), g.forwardTo)
-		afar.Sync(ctx, g.otherHalls(live), g.forwardToHall)
+		hallWorkers.Sync(ctx, g.hallReceivers(live), g.forwardTo)
+		otherWorkers.Sync(ctx, g.otherHalls(live), g.forwardToHall)
 		kernel.Sleep(ctx, forwardCheckInterval)
 	}
 	return nil
 }
 
-// hallReceivers returns the gateways of the own hall that are told.
+// hallReceivers returns the other gateways of this hall, if there are reports for them.
 func (g *Relay) hallReceivers(live []peers.Member) []peers.Member {
 	if !g.reports.has(false) {
 		return nil
@@ -156,7 +157,7 @@
 	return out
 }
 
-// otherHalls returns the other halls that are told.
+// otherHalls returns the other halls, if there are reports for them.
 func (g *Relay) otherHalls(live []peers.Member) []string {
 	if !g.reports.has(true) {
 		return nil
@@ -172,7 +173,7 @@
 	return out
 }
 
-// forwardTo tells one gateway of the own hall until ctx ends.
+// forwardTo forwards reports to a gateway in the same hall until ctx ends.
 func (g *Relay) forwardTo(ctx context.Context, m peers.Member) {
 	for ctx.Err() == nil {
 		g.streamReports(ctx, m, false)
@@ -180,54 +181,54 @@
 	}
 }
 
-// forwardToHall tells one gateway of another hall until ctx ends: the first one of its
-// order that can be reached.
+// forwardToHall forwards reports to another hall until ctx ends, through the first of its
+// gateways, in their common order, that can be reached.
 func (g *Relay) forwardToHall(ctx context.Context, hall string) {
 	for ctx.Err() == nil {
 		for _, m := range peers.CollectorOrder(hall, g.gossip.Live()) {
 			if g.streamReports(ctx, m, true) {
-				break // It was reached; the order is looked at anew.
+				break // The stream was lost; start again with the first gateway.
 			}
 		}
 		kernel.Sleep(ctx, forwardRetryDelay)
 	}
 }
 
-// streamReports opens a stream of reports to a gateway and keeps it until it is lost. It reports
-// whether there was one.
-func (g *Relay) streamReports(ctx context.Context, m peers.Member, afar bool) bool {
+// streamReports opens a stream of reports to a gateway and sends on it until it is lost. It
+// reports whether the stream could be opened.
+func (g *Relay) streamReports(ctx context.Context, m peers.Member, otherHall bool) bool {
 	c, err := g.pool.Get(ctx, m.Addr)
 	if err != nil {
 		return false
 	}
-	pause := reportInterval
-	if afar {
-		pause = otherHallReportInterval
+	interval := reportInterval
+	if otherHall {
+		interval = otherHallReportInterval
 	}
-	reports, number, urgent := g.reports.since(0, afar, time.Now())
-	st, err := c.Open(ctx, &peers.Reports{Replicas: reports, ForwardInHall: afar})
+	reports, seq, urgent := g.reports.since(0, otherHall, time.Now())
+	st, err := c.Open(ctx, &peers.Reports{Replicas: reports, ForwardInHall: otherHall})
 	if err != nil {
 		return false
 	}
 	defer st.Close()
 	telemetry.Log("reports_passed", "peer", m.Name, "hall", m.Hall, "replicas", len(reports))
 	for {
-		if !waitToSend(ctx, c, pause, urgent) {
+		if !waitToSend(ctx, c, interval, urgent) {
 			return true
 		}
-		reports, number, urgent = g.reports.since(number, afar, time.Now())
+		reports, seq, urgent = g.reports.since(seq, otherHall, time.Now())
 		if len(reports) == 0 {
 			continue
 		}
-		if st.Send(ctx, &peers.Reports{Replicas: reports, ForwardInHall: afar}) != nil {
+		if st.Send(ctx, &peers.Reports{Replicas: reports, ForwardInHall: otherHall}) != nil {
 			return true
 		}
 	}
 }
 
-// waitToSend waits for the next message's time, and reports whether there is to be one.
-func waitToSend(ctx context.Context, c *wire.Conn, pause time.Duration, urgent <-chan struct{}) bool {
-	t := time.NewTimer(pause)
+// waitToSend waits until the next message is due, and reports whether to send it.
+func waitToSend(ctx context.Context, c *wire.Conn, interval time.Duration, urgent <-chan struct{}) bool {
+	t := time.NewTimer(interval)
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -17,26 +17,26 @@
 	"github.com/poststand/poststand/internal/link"
 )
 
-// Times of connections to upstreams.
+// Idle times of connections to upstreams.
 const (
-	defaultIdle        = 1500 * time.Millisecond // Rest after which one is not used again, where the upstream says nothing,
-	idleMargin         = 700 * time.Millisecond  // and how long before the time that it said.
+	defaultIdle        = 1500 * time.Millisecond // Maximum where the upstream sends no Keep-Alive timeout.
+	idleMargin         = 700 * time.Millisecond  // Subtracted from the timeout that the upstream sends.
 	maxIdle            = 20 * time.Second
-	maxIdleUnsafe      = 400 * time.Millisecond // For requests that must not be lost.
+	maxIdleUnsafe      = 400 * time.Millisecond // Maximum for requests that may not be repeated.
 	maxIdlePerUpstream = 64
 )
 
-// conn is one connection to an upstream. One request uses it at a time.
+// conn is a connection to an upstream. It carries one request at a time.
 type conn struct {
 	net.Conn
 	r             *bufio.Reader
-	idleSince     time.Time // When it became idle.
-	reusableUntil time.Time // It is not used again after this.
+	idleSince     time.Time
+	reusableUntil time.Time
 	uses          int
 }
 
-// abort ends a connection whose request was given up. Bytes of it that have not left
-// the box are dropped, so that they do not reach the upstream later.
+// abort closes a connection whose request was abandoned. Bytes that have not left the box are
+// dropped, so that they do not reach the upstream later.
 func (c *conn) abort() {
 	if l, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
 		_ = l.SetLinger(0)
@@ -44,24 +44,24 @@
 	_ = c.Close()
 }
 
-// connPool keeps idle connections by upstream. The zero value needs Dial.
+// connPool keeps idle connections to upstreams. Dial defaults to link.Dial.
 type connPool struct {
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu   sync.Mutex
-	idle map[fleet.Incarnation][]*conn // By the life of the upstream, the last used last.
+	idle map[fleet.Incarnation][]*conn // By incarnation of the upstream, the most recently used last.
 }
 
-// get returns a connection that rested for less than rest, or a new one. A new
-// one that cannot be had leaves the request not run.
-func (p *connPool) get(ctx context.Context, to fleet.Incarnation, addr string, rest time.Duration) (*conn, error) {
+// get returns a connection that was idle for less than idleLimit, or a new one. If dialling
+// fails, the request has not run.
+func (p *connPool) get(ctx context.Context, to fleet.Incarnation, addr string, idleLimit time.Duration) (*conn, error) {
 	for {
 		c := p.take(to)
 		if c == nil {
 			break
 		}
 		now := time.Now()
-		if now.Before(c.reusableUntil) && now.Sub(c.idleSince) < rest && c.isQuiet() {
+		if now.Before(c.reusableUntil) && now.Sub(c.idleSince) < idleLimit && c.isQuiet() {
 			return c, nil
 		}
 		_ = c.Close()
@@ -90,51 +90,52 @@
 	return c
 }
 
-// put keeps a connection whose answer is over for the next request.
-func (p *connPool) put(to fleet.Incarnation, c *conn, rest time.Duration) {
+// put returns a connection to the pool after its answer is complete.
+func (p *connPool) put(to fleet.Incarnation, c *conn, idleTimeout time.Duration) {
 	now := time.Now()
-	c.idleSince, c.reusableUntil = now, now.Add(rest)
+	c.idleSince, c.reusableUntil = now, now.Add(idleTimeout)
 	c.uses++
 	p.mu.Lock()
 	if p.idle == nil {
 		p.idle = map[fleet.Incarnation][]*conn{}
 	}
-	full := len(p.idle[to]) >= maxIdlePerUpstream
-	if !full {
+	poolFull := len(p.idle[to]) >= maxIdlePerUpstream
+	if !poolFull {
 		p.idle[to] = append(p.idle[to], c)
 	}
 	p.mu.Unlock()
-	if full {
+	if poolFull {
 		_ = c.Close()
 	}
 }
 
-// sweep closes what has rested for too long, and all to upstreams that are used no more.
-func (p *connPool) sweep(now time.Time, uses func(l fleet.Incarnation) bool) {
-	var old []*conn
+// sweep closes connections that have been idle for too long and those to upstreams that are no
+// longer used.
+func (p *connPool) sweep(now time.Time, inUse func(inc fleet.Incarnation) bool) {
+	var expired []*conn
 	p.mu.Lock()
-	for l, cs := range p.idle {
+	for inc, cs := range p.idle {
 		kept := cs[:0]
 		for _, c := range cs {
-			if uses(l) && now.Before(c.reusableUntil) {
+			if inUse(inc) && now.Before(c.reusableUntil) {
 				kept = append(kept, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
-		p.idle[l] = kept
+		p.idle[inc] = kept
 		if len(kept) == 0 {
-			delete(p.idle, l)
+			delete(p.idle, inc)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		_ = c.Close()
 	}
 }
 
-// isQuiet reports whether the upstream has neither sent anything nor ended the
-// connection since the last answer. Bytes that came belong to no request.
+// isQuiet reports whether the upstream has neither sent anything nor closed the connection
+// since the last answer. Data received while idle belongs to no request.
 func (c *conn) isQuiet() bool {
 	if c.r.Buffered() > 0 {
 		return false
@@ -157,7 +158,8 @@
 	return err == nil && quiet
 }
 
-// keepAliveTimeout is for how long a connection may rest, by the upstream's word of it.
+// keepAliveTimeout returns how long a connection may stay idle, given the upstream's
+// Keep-Alive header.
 func keepAliveTimeout(keepAlive string) time.Duration {
 	for _, part := range strings.Split(keepAlive, ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/internal/relay/dialect.go
+++ b/internal/relay/dialect.go
@@ -1,21 +1,21 @@
 package relay
 
-// Headers names the headers of requests and answers, in canonical form.
+// Headers holds the names of request and response headers, in canonical form.
 type Headers struct {
-	RequestID     string // Of one attempt of a caller; echoed in its answer.
-	Deadline      string // Milliseconds that the caller still waits.
-	LastEventID   string // The last event of a stream that the caller has.
-	Signature     string // Of the replica that answered.
-	Organisation  string // Set by the gateway.
-	Incarnation   string // Of the replica that answered.
-	ExpectReplica string // The incarnation that alone may run the request.
-	NotRun        string // Says that the request did not run.
-	Tokens        string // "prompt,answer": the prompt's, and the most of the answer.
-	LengthHint    string // A guess of the answer's tokens.
-	Rank          string // 0 is let in first.
-	Version       string // Of the weights that answered.
-	ExpectVersion string // The version that alone may run the request.
-	Fault         string // The replica that is the cause of a refusal.
-	Leaving       string // Says that the replica which answers leaves.
-	Limit         string // Requests a second that the replica which answers takes from all gateways together.
+	RequestID     string // ID of one attempt of a caller; echoed in the response.
+	Deadline      string // Milliseconds until the caller stops waiting.
+	LastEventID   string // ID of the last event of a stream that the caller has received.
+	Signature     string // Signature of the replica that answered.
+	Organisation  string // Organisation of the caller; set by the gateway.
+	Incarnation   string // ID of the replica that answered.
+	ExpectReplica string // ID of the only replica that may run the request.
+	NotRun        string // Set if the request has not run.
+	Tokens        string // "prompt,answer": tokens of the prompt, and the maximum of the answer.
+	LengthHint    string // Estimated tokens of the answer.
+	Rank          string // Priority of the request; 0 is the highest.
+	Version       string // Version of the weights that answered.
+	ExpectVersion string // The only version of the weights that may run the request.
+	Fault         string // ID of the replica that caused a refusal.
+	Leaving       string // Set if the answering replica is about to leave.
+	Limit         string // Requests per second that the answering replica accepts from all gateways together.
 }
--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,9 +1,9 @@
-// Package relay is a gateway that sends requests straight to upstreams over
-// HTTP, where the upstreams themselves prove what an agent proves elsewhere:
-// which replica and version runs a request, and that it did not run.
+// Package relay implements a gateway that sends requests directly to upstreams over HTTP. The
+// upstreams themselves provide the guarantees that agents provide elsewhere: which replica and
+// version runs a request, and proof that a request did not run.
 //
-// A request is decided by one catalog from start to end. It goes to the replica
-// that is predicted to answer first; it goes to a second one only where that is
-// safe and the bound on repeats allows it. Its caller is told exactly one of: the
-// whole answer, "not run", or that it may have run.
+// Each request is routed by a single catalog from start to end. It goes to the replica that is
+// predicted to answer first, and is retried on another one only where that is safe and the
+// retry budget allows it. Its caller receives exactly one of: the complete answer, a refusal
+// stating that the request did not run, or a failure after which it may have run.
 package relay
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -13,26 +13,26 @@
 	"github.com/poststand/poststand/kernel"
 )
 
-// callerConns are the connections of callers. The server's own way to end idle ones
-// closes a connection whose next request has been read but not been looked at yet,
-// and that request would get no answer. Here only the reads of a connection are
-// ended, and only while no byte of the next request was read.
+// callerConns tracks the connections of callers. http.Server.Shutdown closes an idle
+// connection even if its next request has been read but not yet handled, and that request gets
+// no answer. Here only the reads of a connection are made to fail, and only while no byte of
+// the next request has been read.
 type callerConns struct {
 	mu   sync.Mutex
 	open map[*callerConn]struct{}
 }
 
-// callerConn is one of them.
+// callerConn is the connection of a caller.
 type callerConn struct {
 	net.Conn
 
 	mu      sync.Mutex
-	idle    bool // No byte of the next request was read yet.
-	served  bool // A request was answered on it.
-	closing bool // Its reads fail, so that the server closes it. Implies waiting.
+	idle    bool // No byte of the next request has been read.
+	served  bool // At least one request has been answered on it.
+	closing bool // Reads fail, so that the server closes the connection. Implies idle.
 }
 
-// callerListener accepts connections of callers.
+// callerListener accepts connections of callers as callerConn.
 type callerListener struct{ net.Listener }
 
 func (l callerListener) Accept() (net.Conn, error) {
@@ -43,7 +43,7 @@
 	return &callerConn{Conn: nc}, nil
 }
 
-// Read ends the wait for a request with the first byte that comes.
+// Read implements net.Conn. The first byte of a request ends the idle state.
 func (c *callerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -52,8 +52,8 @@
 	return n, err
 }
 
-// requestBegan records that a request has begun to come in. One that came just before its
-// connection was to end is served.
+// requestBegan records that a request has started to arrive. If the connection was about to be
+// closed, the request is served nevertheless.
 func (c *callerConn) requestBegan() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// SetReadDeadline sets when reads fail, unless they do already.
+// SetReadDeadline implements net.Conn. It has no effect on a connection that is closing.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,19 +74,19 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// setIdle records that the next request is waited for.
+// setIdle records that the connection waits for its next request.
 func (c *callerConn) setIdle(served bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle, c.served = true, served
 }
 
-// closeIfIdle ends the connection if no request is under way on it; one that never
-// had a request only if fresh is set.
-func (c *callerConn) closeIfIdle(fresh bool) {
+// closeIfIdle makes the server close the connection if no request is in progress on it. A
+// connection that has served no request is closed only if unused is set.
+func (c *callerConn) closeIfIdle(unused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.idle || c.closing || !c.served && !fresh {
+	if !c.idle || c.closing || !c.served && !unused {
 		return
 	}
 	c.closing = true
@@ -94,7 +94,7 @@
 	_ = c.Conn.SetReadDeadline(past)
 }
 
-// trackState follows a connection; it is the ConnState of the server.
+// trackState records the state of a connection; it is the server's ConnState hook.
 func (s *callerConns) trackState(nc net.Conn, st http.ConnState) {
 	c, ok := nc.(*callerConn)
 	if !ok {
@@ -118,32 +118,31 @@
 	}
 }
 
-// closeIdle ends the connections on which no request is under way, see
-// callerConn.closeIfIdle. It returns how many connections are left.
-func (s *callerConns) closeIdle(fresh bool) int {
+// closeIdle closes the connections on which no request is in progress, see
+// callerConn.closeIfIdle. It returns the number of connections left.
+func (s *callerConns) closeIdle(unused bool) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.open {
-		c.closeIfIdle(fresh)
+		c.closeIfIdle(unused)
 	}
 	return len(s.open)
 }
 
-// drainTimes is when a process that is told to stop does what.
+// drainTimes holds the deadlines of a draining process.
 type drainTimes struct {
-	streamsUntil time.Time // From then on it begins nothing that it may have to cut.
-	answersUntil time.Time // By then it has answered.
+	streamsUntil time.Time // Later streams are refused if they may have to be cut short.
+	answersUntil time.Time // All answers have been sent by then.
 }
 
-// draining reports whether the process is told to stop.
+// draining reports whether the process has been told to stop.
 func (g *Relay) draining() bool { return g.stopping.Load() != nil }
 
-// admits reports whether a request may be begun. Little tells beforehand how long a stream
-// will be: the first event of long ones is
-// predicted no later than that of all others, and the caller's guess of the length is often
-// far off. So a late one is begun only if its caller waits no longer than the process
-// stays. An answer that is given only whole can be waited for until the process leaves, and
-// then its caller is told so.
+// admits reports whether a request may start. The length of a stream is hard to predict: the
+// first event of a long one is predicted no later than that of others, and the caller's length
+// hint is often far off. After streamsUntil, a stream therefore starts only if its caller's
+// deadline is before answersUntil. A plain answer can be waited for until then, so its
+// deadline is shortened instead, and its caller is informed when it passes.
 func (d *drainTimes) admits(now time.Time, rq *request) bool {
 	if d == nil || !rq.deadline.After(d.answersUntil) {
 		return true
@@ -155,48 +154,48 @@
 	return now.Before(d.streamsUntil)
 }
 
-// drainRetryDelay is when the caller of a request that a stopping process turns away should
-// come back: other gateways can take it at once.
+// drainRetryDelay returns after what time a caller that a draining process refused should
+// retry. It is short, because other gateways can take the request at once.
 func drainRetryDelay() time.Duration {
-	const least, spread = 20 * time.Millisecond, 80 * time.Millisecond
-	return least + rand.N(spread)
+	const minDelay, spread = 20 * time.Millisecond, 80 * time.Millisecond
+	return minDelay + rand.N(spread)
 }
 
-// ServeCallers serves callers until stop ends, and then drains. It ends at once with
-// own.
-func (g *Relay) ServeCallers(stop, own context.Context, ln net.Listener) error {
+// ServeCallers serves callers until stop ends, and then drains. It returns at once when
+// lifetime ends.
+func (g *Relay) ServeCallers(stop, lifetime context.Context, ln net.Listener) error {
 	var conns callerConns
 	srv := &http.Server{
 		Handler: g, ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: callerIdleTimeout,
 		ErrorLog: nil, ConnState: conns.trackState,
 	}
 	served := make(chan error, 1)
-	go func() { served <- telemetry.ServeHTTP(own, callerListener{ln}, srv) }()
+	go func() { served <- telemetry.ServeHTTP(lifetime, callerListener{ln}, srv) }()
 	select {
 	case err := <-served:
 		return err
 	case <-stop.Done():
 	}
-	g.drain(own, ln, &conns)
+	g.drain(lifetime, ln, &conns)
 	return srv.Close()
 }
 
-// drain says "not ready" and still serves for as long as the balancer may take to
-// notice. Then it takes no more connections and lets what is in progress finish.
-func (g *Relay) drain(own context.Context, ln net.Listener, conns *callerConns) {
-	const look = 50 * time.Millisecond
+// drain reports "not ready" and continues to serve for as long as the load balancer may take
+// to notice. Then it closes the listener and lets requests in progress finish.
+func (g *Relay) drain(lifetime context.Context, ln net.Listener, conns *callerConns) {
+	const pollInterval = 50 * time.Millisecond
 	began := time.Now()
 	telemetry.Log("drain_started", "box", g.Settings.Box)
-	noticed, end := began.Add(balancerNotice), began.Add(g.bounds.Load().GraceFor-exitMargin)
+	noticedBy, end := began.Add(balancerNotice), began.Add(g.bounds.Load().GraceFor-exitMargin)
 	g.stopping.Store(&drainTimes{streamsUntil: began.Add(streamCutoff), answersUntil: end.Add(-answerMargin)})
 	left := conns.closeIdle(false)
-	for ; own.Err() == nil && time.Now().Before(noticed); kernel.Sleep(own, look) {
+	for ; lifetime.Err() == nil && time.Now().Before(noticedBy); kernel.Sleep(lifetime, pollInterval) {
 		left = conns.closeIdle(false)
 	}
 	if err := ln.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		telemetry.LogError(err, "listener_not_closed", "box", g.Settings.Box)
 	}
-	for ; own.Err() == nil && time.Now().Before(end); kernel.Sleep(own, look) {
+	for ; lifetime.Err() == nil && time.Now().Before(end); kernel.Sleep(lifetime, pollInterval) {
 		if left = conns.closeIdle(true); left == 0 {
 			break
 		}
--- a/internal/relay/endings.go
+++ b/internal/relay/endings.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// endProbeTimeout is how long a replica may take to turn a connection away: one that says
-	// nothing may be cut off, and is not known to have ended.
+	// endProbeTimeout is how long a replica may take to refuse a connection. One that does not
+	// respond may be cut off and does not count as terminated.
 	endProbeTimeout = 200 * time.Millisecond
-	// endProbeTTL is for how long what was found out of a replica holds: all of its
-	// connections break at one moment when it ends.
+	// endProbeTTL is how long the result of a probe is valid: all connections of a replica
+	// break at the same moment when it terminates.
 	endProbeTTL = endProbeTimeout
 )
 
-// endProbes finds out whether replicas whose connections broke have ended: a lost connection
-// alone does not say so, and is no reason to suspect a request. The zero value needs Dial.
+// endProbes determines whether replicas whose connections broke have terminated. A broken
+// connection alone does not prove it and is no reason to suspect a request. Dial defaults to
+// link.Dial.
 type endProbes struct {
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
@@ -29,43 +30,43 @@
 	probes map[string]*endProbe // By the ID of the replica.
 }
 
-// endProbe is one question.
+// endProbe is one check whether a replica has terminated.
 type endProbe struct {
 	at    time.Time
 	done  chan struct{}
-	ended bool // The replica has ended; set before done is closed.
+	ended bool // The replica has terminated; set before done is closed.
 }
 
-// ended asks whether the process at an address is gone. What was asked of late is not asked
-// again.
+// ended reports whether the replica at an address has terminated. It reuses the result of a
+// recent probe.
 func (e *endProbes) ended(id, addr string) bool {
-	q, isNew := e.probe(id)
+	p, isNew := e.probe(id)
 	if isNew {
-		q.ended = e.refusesConnection(addr)
-		close(q.done)
+		p.ended = e.refusesConnection(addr)
+		close(p.done)
 	}
-	<-q.done
-	return q.ended
+	<-p.done
+	return p.ended
 }
 
-// probe returns the last question about a replica, or a new one to be answered by the
-// caller.
-func (e *endProbes) probe(id string) (q *endProbe, isNew bool) {
+// probe returns the most recent probe of a replica, or a new one whose result the caller must
+// set.
+func (e *endProbes) probe(id string) (p *endProbe, isNew bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if q := e.probes[id]; q != nil && now.Sub(q.at) <= endProbeTTL {
-		return q, false
+	if p := e.probes[id]; p != nil && now.Sub(p.at) <= endProbeTTL {
+		return p, false
 	}
 	if e.probes == nil {
 		e.probes = map[string]*endProbe{}
 	}
-	q = &endProbe{at: now, done: make(chan struct{})}
-	e.probes[id] = q
-	return q, true
+	p = &endProbe{at: now, done: make(chan struct{})}
+	e.probes[id] = p
+	return p, true
 }
 
-// refusesConnection reports whether nobody listens at an address.
+// refusesConnection reports whether no process listens at an address.
 func (e *endProbes) refusesConnection(addr string) bool {
 	dial := e.Dial
 	if dial == nil {
@@ -81,12 +82,12 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// sweep forgets old questions.
+// sweep deletes expired probes.
 func (e *endProbes) sweep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for id, q := range e.probes {
-		if now.Sub(q.at) > endProbeTTL {
+	for id, p := range e.probes {
+		if now.Sub(p.at) > endProbeTTL {
 			delete(e.probes, id)
 		}
 	}
--- a/internal/relay/endnews.go
+++ b/internal/relay/endnews.go
@@ -8,40 +8,40 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// replicaEnd is the end of a replica that this gateway saw.
+// replicaEnd is the termination of a replica that this gateway has observed.
 type replicaEnd struct {
-	id string // Of the replica.
-	at time.Time
+	replica string // Its ID.
+	at      time.Time
 }
 
-// recordEnd takes note of the end of a replica, and has all gateways told of it: whether a
-// request is why its replicas ended is judged by what else ended about then, and each gateway
-// sees only ends under requests of its own.
+// recordEnd records the termination of a replica and queues it for all other gateways. Whether
+// a request is the cause is decided by what else terminated at about the same time, and each
+// gateway observes only terminations during its own requests.
 func (g *Relay) recordEnd(id string, at time.Time) {
 	if g.suspects.RecordTermination(time.Now(), id, at) {
 		g.endQueue.add(replicaEnd{id, at})
 	}
 }
 
-// notifyEnds keeps telling all gateways which replicas ended.
+// notifyEnds notifies all other gateways of terminated replicas until ctx ends.
 func (g *Relay) notifyEnds(ctx context.Context) error {
 	return notifyPeers(ctx, &g.endQueue, g.sendEnds)
 }
 
-// sendEnds returns how many gateways were told.
+// sendEnds sends terminations to all other gateways and returns their number.
 func (g *Relay) sendEnds(ctx context.Context, ends map[replicaEnd]bool, now time.Time) int {
-	var told []peers.ReplicaEnd
+	var msg []peers.ReplicaEnd
 	for e := range ends {
-		told = append(told, peers.ReplicaEnd{ID: e.id, Age: max(0, min(peers.MaxReportedAge, now.Sub(e.at)))})
+		msg = append(msg, peers.ReplicaEnd{ID: e.replica, Age: max(0, min(peers.MaxReportedAge, now.Sub(e.at)))})
 	}
-	n := 0
+	receivers := 0
 	for _, m := range g.gossip.Live() {
 		if m.Addr != g.Settings.Listen {
-			n++
-			go g.gossip.SendReplicaEnds(ctx, m.Addr, told)
+			receivers++
+			go g.gossip.SendReplicaEnds(ctx, m.Addr, msg)
 		}
 	}
-	return n
+	return receivers
 }
 
 func (g *Relay) serveReplicaEnds(_ context.Context, _ *wire.Stream, m *peers.ReplicaEnds) {
--- a/internal/relay/limitnews.go
+++ b/internal/relay/limitnews.go
@@ -11,83 +11,85 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Waits of telling others what replicas said of their limits.
+// Times for notifying other gateways of the limits of replicas.
 const (
-	maxTransit = time.Second // So long a message may have been on its way.
-	// limitRepeatDelay is after which time what was heard is told once more: of what may have been
-	// said before what they know, others believe only the lower limit.
+	maxTransit = time.Second // Assumed maximum transit time of a message.
+	// limitRepeatDelay is the delay after which a limit is sent a second time. A limit that
+	// may be older than the one that a receiver has is accepted only if it is lower.
 	limitRepeatDelay = 2 * maxTransit
 )
 
-// limitMessage is what is believed of a replica's limit, as it is told.
-func limitMessage(id fleet.Incarnation, l route.Limit, now time.Time) peers.ReplicaLimit {
-	w := peers.ReplicaLimit{ID: id.ID, Born: id.Born, Named: l.Named, PerSecond: l.PerSecond}
-	w.HeardAge = max(0, min(peers.MaxReportedAge, now.Sub(l.Heard)))
-	w.AskedAge = max(w.HeardAge, min(peers.MaxReportedAge, now.Sub(l.Asked)))
-	return w
+// newReplicaLimit returns the limit of a replica in wire form.
+func newReplicaLimit(inc fleet.Incarnation, l route.Limit, now time.Time) peers.ReplicaLimit {
+	rl := peers.ReplicaLimit{ID: inc.ID, Born: inc.Born, Named: l.Named, PerSecond: l.PerSecond}
+	rl.HeardAge = max(0, min(peers.MaxReportedAge, now.Sub(l.Heard)))
+	rl.AskedAge = max(rl.HeardAge, min(peers.MaxReportedAge, now.Sub(l.Asked)))
+	return rl
 }
 
-// receiveLimit takes what another gateway tells unasked: the message may have been on its way
-// for so long.
-func (g *Relay) receiveLimit(w *peers.ReplicaLimit, now time.Time, onWay time.Duration, from string) {
-	g.mergeLimit(w, now.Add(-onWay-w.AskedAge), from)
+// receiveLimit merges a limit that another gateway sent unsolicited. The message may have been
+// in transit for up to transit.
+func (g *Relay) receiveLimit(rl *peers.ReplicaLimit, now time.Time, transit time.Duration, from string) {
+	g.mergeLimit(rl, now.Add(-transit-rl.AskedAge), from)
 }
 
-// mergeLimit takes what another gateway tells of a replica's limit, by an answer that was made
-// after a time.
-func (g *Relay) mergeLimit(w *peers.ReplicaLimit, asked time.Time, from string) {
+// mergeLimit merges a replica's limit received from another gateway. It stems from a response
+// to a request sent at asked or later.
+func (g *Relay) mergeLimit(rl *peers.ReplicaLimit, asked time.Time, from string) {
 	now := time.Now()
-	o := route.Limit{Named: w.Named, PerSecond: w.PerSecond, Asked: asked, Heard: now.Add(-w.HeardAge)}
-	before, after := g.table.UpdateLimit(w.Life(), now, o)
+	l := route.Limit{Named: rl.Named, PerSecond: rl.PerSecond, Asked: asked, Heard: now.Add(-rl.HeardAge)}
+	before, after := g.table.UpdateLimit(rl.Life(), now, l)
 	if before.SameRate(after) {
 		return
 	}
 	g.Metrics.Event("upstream_limit_learnt", "")
-	telemetry.Log("upstream_limit_learnt", "id", w.ID, "limit", after, "before", before, "from", from, "heard_ago", w.HeardAge)
-	if g.limiterOf(w.ID).addr == g.Settings.Listen {
-		g.limitQueue.add(w.Life())
+	telemetry.Log("upstream_limit_learnt", "id", rl.ID, "limit", after, "before", before, "from", from, "heard_ago", rl.HeardAge)
+	if g.limiterOf(rl.ID).addr == g.Settings.Listen {
+		g.limitQueue.add(rl.Life())
 	}
 }
 
-// notifyLimits keeps telling what replicas said of their limits: the limiter of each, which
-// tells all others. Each gateway would else send a first request to a replica in need before
-// it hears of it by itself.
+// notifyLimits sends changed limits to the limiter of each replica, and, for replicas of which
+// this gateway is the limiter, to all other gateways. Otherwise each gateway would send one
+// request to an overloaded replica before it learns the limit itself.
 func (g *Relay) notifyLimits(ctx context.Context) error {
 	return notifyPeers(ctx, &g.limitQueue, g.sendLimits)
 }
 
-// queueLimitTwice has others told of what a replica said now, and once more in a while.
-func (g *Relay) queueLimitTwice(l fleet.Incarnation) {
-	g.limitQueue.add(l)
-	time.AfterFunc(limitRepeatDelay, func() { g.limitQueue.add(l) })
+// queueLimitTwice queues the limit of a replica for other gateways now and once more after
+// limitRepeatDelay.
+func (g *Relay) queueLimitTwice(inc fleet.Incarnation) {
+	g.limitQueue.add(inc)
+	time.AfterFunc(limitRepeatDelay, func() { g.limitQueue.add(inc) })
 }
 
-// sendLimits tells each gateway what concerns it, and returns how many were told.
-func (g *Relay) sendLimits(ctx context.Context, news map[fleet.Incarnation]bool, now time.Time) int {
-	to := map[string][]peers.ReplicaLimit{}
-	for l := range news {
-		w := limitMessage(l, g.table.Limit(l), now)
-		if k := g.limiterOf(l.ID); k.addr != g.Settings.Listen {
-			to[k.addr] = append(to[k.addr], w)
+// sendLimits sends each gateway the limits that concern it and returns the number of
+// receivers.
+func (g *Relay) sendLimits(ctx context.Context, pending map[fleet.Incarnation]bool, now time.Time) int {
+	byAddr := map[string][]peers.ReplicaLimit{}
+	for inc := range pending {
+		rl := newReplicaLimit(inc, g.table.Limit(inc), now)
+		if lim := g.limiterOf(inc.ID); lim.addr != g.Settings.Listen {
+			byAddr[lim.addr] = append(byAddr[lim.addr], rl)
 			continue
 		}
 		for _, m := range g.gossip.Live() {
 			if m.Addr != g.Settings.Listen {
-				to[m.Addr] = append(to[m.Addr], w)
+				byAddr[m.Addr] = append(byAddr[m.Addr], rl)
 			}
 		}
 	}
-	for addr, words := range to {
-		go g.gossip.SendLimits(ctx, addr, words)
+	for addr, limits := range byAddr {
+		go g.gossip.SendLimits(ctx, addr, limits)
 	}
-	return len(to)
+	return len(byAddr)
 }
 
-func (g *Relay) serveLimitWords(_ context.Context, s *wire.Stream, m *peers.ReplicaLimits) {
+func (g *Relay) serveReplicaLimits(_ context.Context, s *wire.Stream, m *peers.ReplicaLimits) {
 	now := time.Now()
 	for i := range m.Words {
-		if w := &m.Words[i]; w.Valid() {
-			g.receiveLimit(w, now, maxTransit, s.Conn().Remote().Box)
+		if rl := &m.Words[i]; rl.Valid() {
+			g.receiveLimit(rl, now, maxTransit, s.Conn().Remote().Box)
 		}
 	}
 }
--- a/internal/relay/news.go
+++ b/internal/relay/news.go
@@ -8,17 +8,18 @@
 	"github.com/poststand/poststand/kernel"
 )
 
-// Waits of telling others what is news.
+// Intervals between notifications of other gateways.
 const (
-	notifyInterval      = 200 * time.Millisecond // Between two messages to each of a few gateways, longer with many.
-	notifyIntervalPeers = 12                     // The time grows with their number beyond so many.
+	notifyInterval      = 200 * time.Millisecond // Between two messages to each gateway, up to notifyIntervalPeers gateways.
+	notifyIntervalPeers = 12                     // Beyond this number, the interval grows in proportion.
 )
 
-// notifyQueue is what others are to be told of soon. The zero value is none.
+// notifyQueue holds keys of which other gateways are to be notified. The zero value is an
+// empty queue.
 type notifyQueue[K comparable] struct {
 	mu      sync.Mutex
 	pending map[K]bool
-	added   chan struct{} // Closed and replaced when there is news.
+	added   chan struct{} // Closed and replaced when a key is added.
 }
 
 func (n *notifyQueue[K]) init() {
@@ -38,7 +39,7 @@
 	}
 }
 
-// take returns the news, and what is closed when there is more.
+// take removes and returns all pending keys, with a channel that is closed when one is added.
 func (n *notifyQueue[K]) take() (map[K]bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -48,20 +49,20 @@
 	return out, n.added
 }
 
-// notifyPeers keeps telling what is news until ctx ends, by a function that returns how many
-// gateways it told.
-func notifyPeers[K comparable](ctx context.Context, n *notifyQueue[K], tell func(ctx context.Context, about map[K]bool, now time.Time) int) error {
+// notifyPeers calls send with the pending keys, again and again until ctx ends. send returns
+// the number of gateways that it notified.
+func notifyPeers[K comparable](ctx context.Context, n *notifyQueue[K], send func(ctx context.Context, pending map[K]bool, now time.Time) int) error {
 	for ctx.Err() == nil {
-		about, more := n.take()
-		if len(about) == 0 {
+		pending, added := n.take()
+		if len(pending) == 0 {
 			select {
-			case <-more:
+			case <-added:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		told := tell(ctx, about, time.Now())
-		kernel.Sleep(ctx, notifyInterval*time.Duration(max(notifyIntervalPeers, told))/notifyIntervalPeers)
+		receivers := send(ctx, pending, time.Now())
+		kernel.Sleep(ctx, notifyInterval*time.Duration(max(notifyIntervalPeers, receivers))/notifyIntervalPeers)
 	}
 	return nil
 }
--- a/internal/relay/permit.go
+++ b/internal/relay/permit.go
@@ -15,34 +15,34 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// A limit that a replica names holds for all gateways together, and no gateway can hold it
-// alone: with a part each, the first sends of many are more than the limit, and where one has
-// all the callers the replica is hardly used. One gateway is the limiter of each replica, the
-// first of those that live in an order that all share, and the others ask it for a permit for
-// each request. Without its word nothing is sent there.
+// A limit that a replica announces applies to all gateways together, and they can't enforce it
+// separately. If each took a share, the first requests of many gateways would exceed the
+// limit, and if one gateway had all callers, the replica would be hardly used. So one gateway
+// is the limiter of each replica: the first of the live gateways in rendezvous order. The
+// others request a permit from it for each request, and send nothing without one.
 const (
-	permitTimeout     = 80 * time.Millisecond  // An answer that takes longer is given up, and its permit is lost.
-	permitTTL         = time.Second            // A request that has a permit is sent within this, or not there.
-	limiterRetryDelay = 300 * time.Millisecond // A limiter that does not answer is left alone for this.
-	limiterMovedDelay = 50 * time.Millisecond  // The same where another gateway is the limiter by now.
-	maxPermitRequests = 8                      // For one send of a request.
-	limiterStateTTL   = time.Minute            // A limit that nobody asks about is forgotten.
+	permitTimeout     = 80 * time.Millisecond  // A permit that arrives later is discarded.
+	permitTTL         = time.Second            // A permit must be used within this time.
+	limiterRetryDelay = 300 * time.Millisecond // Pause after a limiter did not respond.
+	limiterMovedDelay = 50 * time.Millisecond  // Pause after the asked gateway was not the limiter.
+	maxPermitRequests = 8                      // For one attempt of a request.
+	limiterStateTTL   = time.Minute            // State that is not used for this long is deleted.
 )
 
-// limiterState is the limit of a replica of which this gateway is the limiter.
+// limiterState is the state of a replica's limit at the limiter.
 type limiterState struct {
-	life      fleet.Incarnation
-	permits   limit.Permits
-	lastAsked time.Time // When a permit was last asked for.
+	incarnation fleet.Incarnation
+	permits     limit.Permits
+	lastAsked   time.Time // When a permit was last requested.
 }
 
-// limiterKeyPrefix orders the gateways that may be the limiter of a replica.
+// limiterKeyPrefix precedes the ID of a replica in the key that selects its limiter.
 const limiterKeyPrefix = "limit/"
 
-// limiter is who gives permits for a replica, as far as a gateway knows.
+// limiter is the gateway that grants permits for a replica, as far as this gateway can tell.
 type limiter struct {
 	addr        string
-	live, known int // Gateways that live, and all that were heard of in a while.
+	live, known int // Live gateways, and all that have been members recently.
 }
 
 func (g *Relay) limiterOf(replica string) limiter {
@@ -54,45 +54,45 @@
 	return limiter{rendezvous.First(limiterKeyPrefix+replica, addrs), len(addrs), max(len(addrs), g.gossip.KnownCount())}
 }
 
-// share is how much of a limit the limiter gives out: gateways that have fallen silent may be
-// cut off with a limiter of their own.
-func (k limiter) share(perSecond float64) float64 {
-	return perSecond * float64(k.live) / float64(k.known)
+// share returns the part of a limit that the limiter grants. Gateways that no longer respond
+// may be on the other side of a partition with a limiter of their own.
+func (l limiter) share(perSecond float64) float64 {
+	return perSecond * float64(l.live) / float64(l.known)
 }
 
-// hasPermit reports whether a request may be sent to the replica that was chosen: it has no
-// limit, or there is a permit.
+// hasPermit reports whether a request may be sent to the chosen replica: either it has no
+// limit, or a permit was granted.
 func (g *Relay) hasPermit(ctx context.Context, rq *request, to *route.Choice) bool {
 	return !to.Limit.Named || g.obtainPermit(ctx, rq, to)
 }
 
-// obtainPermit asks for a permit for a request at the replica that was chosen, and reports whether
-// it has one. If not, the table knows when to ask again.
+// obtainPermit requests a permit to send a request to the chosen replica and reports whether
+// it was granted. If not, it records in the table when to request one again.
 func (g *Relay) obtainPermit(ctx context.Context, rq *request, to *route.Choice) bool {
 	now := time.Now()
-	ask := &peers.PermitRequest{Word: limitMessage(to.Incarnation, to.Limit, now), Rank: rq.rank}
-	k := g.limiterOf(to.ID)
-	if again := g.limiterBackoffUntil(now, k.addr); !again.IsZero() {
-		g.table.RecordNoPermit(to.Reservation, 0, again)
+	req := &peers.PermitRequest{Word: newReplicaLimit(to.Incarnation, to.Limit, now), Rank: rq.rank}
+	lim := g.limiterOf(to.ID)
+	if retryAt := g.limiterBackoffUntil(now, lim.addr); !retryAt.IsZero() {
+		g.table.RecordNoPermit(to.Reservation, 0, retryAt)
 		return false
 	}
-	p, err := g.requestPermit(ctx, k, ask)
+	p, err := g.requestPermit(ctx, lim, req)
 	switch {
 	case err != nil && ctx.Err() != nil:
-		return false // Its caller has gone.
+		return false // The caller has cancelled.
 	case err != nil:
-		again := time.Now().Add(limiterRetryDelay)
-		g.backOffLimiter(k.addr, again)
-		g.table.RecordNoPermit(to.Reservation, 0, again)
+		retryAt := time.Now().Add(limiterRetryDelay)
+		g.backOffLimiter(lim.addr, retryAt)
+		g.table.RecordNoPermit(to.Reservation, 0, retryAt)
 		g.Metrics.Event("permit_not_asked", string(fault.CodeOf(err)))
-		telemetry.Log("permit_not_asked", "id", to.ID, "limiter", k.addr, "reason", fault.CodeOf(err), "limit", to.Limit, "gateways", k.live, "known", k.known)
+		telemetry.Log("permit_not_asked", "id", to.ID, "limiter", lim.addr, "reason", fault.CodeOf(err), "limit", to.Limit, "gateways", lim.live, "known", lim.known)
 		return false
 	case p.NotLimiter:
 		g.Metrics.Event("permit_not_kept", "")
 		g.table.RecordNoPermit(to.Reservation, 0, now.Add(limiterMovedDelay))
 		return false
 	}
-	g.mergeLimit(&p.Word, now.Add(-p.Word.AskedAge), k.addr)
+	g.mergeLimit(&p.Word, now.Add(-p.Word.AskedAge), lim.addr)
 	if !p.Given {
 		g.Metrics.Event("permit_refused", "")
 		g.table.RecordNoPermit(to.Reservation, rq.rank, time.Now().Add(p.NextIn))
@@ -102,7 +102,8 @@
 	return true
 }
 
-// limiterBackoffUntil is until when a limiter is left alone that did not answer; zero if it is not.
+// limiterBackoffUntil returns until when no permits are requested from a limiter that did not
+// respond, or zero.
 func (g *Relay) limiterBackoffUntil(now time.Time, limiter string) time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,25 +113,25 @@
 	return time.Time{}
 }
 
-// backOffLimiter leaves a limiter alone until a time, for all replicas that it is the limiter of: each
-// request would else wait for it again.
+// backOffLimiter suspends permit requests to a limiter, for all of its replicas. Otherwise
+// each request would wait for the time-out again.
 func (g *Relay) backOffLimiter(limiter string, until time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limiterBackoff[limiter] = until
 }
 
-// requestPermit asks a limiter, which may be this gateway.
-func (g *Relay) requestPermit(ctx context.Context, k limiter, ask *peers.PermitRequest) (*peers.Permit, error) {
-	if k.addr == g.Settings.Listen {
-		return g.grantPermit(time.Now(), ask, g.Settings.Box), nil
+// requestPermit requests a permit from the limiter, which may be this gateway.
+func (g *Relay) requestPermit(ctx context.Context, lim limiter, req *peers.PermitRequest) (*peers.Permit, error) {
+	if lim.addr == g.Settings.Listen {
+		return g.grantPermit(time.Now(), req, g.Settings.Box), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	return g.gossip.RequestPermit(ctx, k.addr, ask)
+	return g.gossip.RequestPermit(ctx, lim.addr, req)
 }
 
-func (g *Relay) serveAskPermit(ctx context.Context, s *wire.Stream, m *peers.PermitRequest) {
+func (g *Relay) servePermitRequest(ctx context.Context, s *wire.Stream, m *peers.PermitRequest) {
 	if !m.Word.Valid() {
 		_ = s.Fail(ctx, fault.New(fault.BadRequest, "limit"))
 		return
@@ -138,33 +139,34 @@
 	_ = s.SendLast(ctx, g.grantPermit(time.Now(), m, s.Conn().Remote().Box))
 }
 
-// grantPermit answers who asks for a permit, as the limiter of its replica.
+// grantPermit handles a permit request as the limiter of the replica.
 func (g *Relay) grantPermit(now time.Time, m *peers.PermitRequest, from string) *peers.Permit {
-	k := g.limiterOf(m.Word.ID)
-	if k.addr != g.Settings.Listen || !g.membersLearnt() {
+	lim := g.limiterOf(m.Word.ID)
+	if lim.addr != g.Settings.Listen || !g.joinAttempted() {
 		g.deleteLimiterState(m.Word.ID)
 		return &peers.Permit{NotLimiter: true, Word: m.Word}
 	}
 	g.receiveLimit(&m.Word, now, permitTimeout, from)
 	l := g.table.Limit(m.Word.Life())
-	p := &peers.Permit{Word: limitMessage(m.Word.Life(), l, now)}
+	p := &peers.Permit{Word: newReplicaLimit(m.Word.Life(), l, now)}
 	if !l.Named {
 		p.Given = true
 		return p
 	}
 	var next time.Time
-	p.Given, next = g.issuePermit(now, m.Word.Life(), k.share(l.PerSecond), m.Rank)
+	p.Given, next = g.issuePermit(now, m.Word.Life(), lim.share(l.PerSecond), m.Rank)
 	if !p.Given {
 		p.NextIn = next.Sub(now)
 		return p
 	}
-	telemetry.Log("permit_given", "id", m.Word.ID, "to", from, "rank", m.Rank, "limit", l, "part", k.share(l.PerSecond), "gateways", k.live, "known", k.known)
+	telemetry.Log("permit_given", "id", m.Word.ID, "to", from, "rank", m.Rank, "limit", l, "part", lim.share(l.PerSecond), "gateways", lim.live, "known", lim.known)
 	return p
 }
 
-// membersLearnt reports whether this gateway has asked all that it was told to join: one that
-// has just started knows of itself alone, and takes itself for the limiter of every limit.
-func (g *Relay) membersLearnt() bool {
+// joinAttempted reports whether this gateway has tried to contact all gateways that it is
+// configured to join. Before that it may have no other member than itself, and would take
+// itself for the limiter of every replica.
+func (g *Relay) joinAttempted() bool {
 	select {
 	case <-g.gossip.JoinAttempted():
 		return true
@@ -174,33 +176,34 @@
 }
 
 // issuePermit takes a permit for a replica of which this gateway is the limiter.
-func (g *Relay) issuePermit(now time.Time, l fleet.Incarnation, perSecond float64, rank int) (bool, time.Time) {
+func (g *Relay) issuePermit(now time.Time, inc fleet.Incarnation, perSecond float64, rank int) (bool, time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	own := g.limiterStates[l.ID]
-	if own == nil || own.life.Before(l) {
-		own = &limiterState{life: l}
-		g.limiterStates[l.ID] = own
+	state := g.limiterStates[inc.ID]
+	if state == nil || state.incarnation.Before(inc) {
+		state = &limiterState{incarnation: inc}
+		g.limiterStates[inc.ID] = state
 	}
-	own.lastAsked = now
-	return own.permits.Take(now, perSecond, rank)
+	state.lastAsked = now
+	return state.permits.Take(now, perSecond, rank)
 }
 
-// deleteLimiterState forgets a limit of which another gateway is the limiter now: if this one is it
-// again later, what the other gave is not known, and it begins without free permits.
+// deleteLimiterState deletes the state of a limit whose limiter is now another gateway. If
+// this gateway becomes the limiter again, it does not know which permits the other one
+// granted, and starts without free permits.
 func (g *Relay) deleteLimiterState(replica string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.limiterStates, replica)
 }
 
-// sweepLimiters forgets limits of which this gateway is no longer the limiter or nobody has asked
-// for long, and which limiters were silent.
+// sweepLimiters deletes the state of limits that are unused or whose limiter is another
+// gateway, and expired back-offs.
 func (g *Relay) sweepLimiters(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	maps.DeleteFunc(g.limiterStates, func(id string, l *limiterState) bool {
-		return now.Sub(l.lastAsked) > limiterStateTTL || g.limiterOf(id).addr != g.Settings.Listen
+	maps.DeleteFunc(g.limiterStates, func(id string, state *limiterState) bool {
+		return now.Sub(state.lastAsked) > limiterStateTTL || g.limiterOf(id).addr != g.Settings.Listen
 	})
 	maps.DeleteFunc(g.limiterBackoff, func(_ string, until time.Time) bool { return !until.After(now) })
 }
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -12,25 +12,25 @@
 	"github.com/poststand/poststand/route"
 )
 
-// maxAttempts bounds the attempts of one request.
+// maxAttempts limits the attempts of one request.
 const maxAttempts = 5
 
-// process sends a request until its outcome is final.
+// process sends a request, with retries, until its outcome is final.
 func (g *Relay) process(ctx context.Context, rq *request, out *answer) dispatch.Result {
 	if now := time.Now(); !g.stopping.Load().admits(now, rq) {
 		return dispatch.Result{Outcome: dispatch.NotRun, Reason: fault.Draining, RetryAt: now.Add(drainRetryDelay())}
 	}
 	if g.isQuarantined(time.Now(), rq) {
-		return dispatch.Result{Outcome: dispatch.NotRun, Reason: fault.Quarantined, RetryAt: rq.verdict.Until}
+		return dispatch.Result{Outcome: dispatch.NotRun, Reason: fault.Quarantined, RetryAt: rq.quarantineStatus.Until}
 	}
 	window := g.retryWindow(rq.service)
 	window.RecordRequest(rq.arrivedAt)
-	var all dispatch.Attempts
+	var results dispatch.Attempts
 	exclude := map[string]bool{}
-	arrivals, runs := 0, 0 // Sends that reached a replica, and those that may have run.
+	arrivals, runs := 0, 0 // Attempts that reached a replica, and those that may have run.
 	last := notRun(fault.NoUpstream)
 	defer func() {
-		if rq.next != nil { // It was begun and is not used.
+		if rq.next != nil { // It was opened and is not used.
 			rq.next.release(false)
 			g.table.Done(time.Now(), rq.next.to.Reservation, route.RequestResult{})
 		}
@@ -38,7 +38,7 @@
 	for rq.attempts < maxAttempts {
 		now := time.Now()
 		if !now.Before(rq.deadline) {
-			last = all.Add(notRun(fault.PastDeadline))
+			last = results.Add(notRun(fault.PastDeadline))
 			break
 		}
 		a := rq.next
@@ -47,36 +47,36 @@
 			choice, res, ok := g.choose(ctx, rq, exclude, arrivals)
 			if !ok {
 				if rq.attempts == 0 {
-					last = all.Add(res)
+					last = results.Add(res)
 				} else if last.Outcome == dispatch.NotRun {
 					last.RetryAt = res.RetryAt
 				}
 				break
 			}
 			rq.attempts++
-			a = &attempt{relay: g, rq: rq, out: out, to: choice, round: rq.nextStrikeRound(), epoch: rq.verdict.Epoch}
+			a = &attempt{relay: g, rq: rq, out: out, to: choice, round: rq.nextStrikeRound(), epoch: rq.quarantineStatus.Epoch}
 		}
 		exclude[a.to.ID] = true
-		own := a.run(ctx)
-		rq.recordAttempt(a, own)
-		a.updateSuspects(own)
-		if reached(own) {
+		result := a.run(ctx)
+		rq.recordAttempt(a, result)
+		a.updateSuspects(result)
+		if reached(result) {
 			arrivals++
 		}
-		if own.Outcome == dispatch.Unknown {
+		if result.Outcome == dispatch.Unknown {
 			runs++
 		}
-		last = all.Add(own)
-		if own.Outcome == dispatch.Done {
-			return own
+		last = results.Add(result)
+		if result.Outcome == dispatch.Done {
+			return result
 		}
-		if ctx.Err() != nil || !mayRetry(rq, out, own) || runs >= max(1, rq.route.Attempts) {
+		if ctx.Err() != nil || !mayRetry(rq, out, result) || runs >= max(1, rq.route.Attempts) {
 			break
 		}
 		if g.isQuarantined(time.Now(), rq) {
 			break
 		}
-		g.Metrics.Retried(own.Reason)
+		g.Metrics.Retried(result.Reason)
 	}
 	if last.Outcome == dispatch.NotRun && last.RetryAt.IsZero() {
 		last.RetryAt = g.retryTime(time.Now(), rq, 0)
@@ -87,13 +87,13 @@
 	return last
 }
 
-// choose chooses a replica for the next send, or says why there is none. One that has a limit
-// is passed over if there is no permit for the request.
+// choose picks a replica for the next attempt; ok is false, with the result of the request, if
+// there is none. A replica with a limit is skipped if no permit is granted.
 func (g *Relay) choose(ctx context.Context, rq *request, exclude map[string]bool, arrivals int) (route.Choice, dispatch.Result, bool) {
-	for asked := 0; ; asked++ {
+	for permitRequests := 0; ; permitRequests++ {
 		now := time.Now()
-		choice, err := g.table.Pick(now, rq.routeAsk(g, exclude))
-		rq.replicaStates = choice.Availability
+		choice, err := g.table.Pick(now, rq.routeCriteria(g, exclude))
+		rq.availability = choice.Availability
 		if err != nil {
 			return choice, g.noReplicaResult(now, rq, choice, err), false
 		}
@@ -106,11 +106,11 @@
 		}
 		if !g.hasPermit(ctx, rq, &choice) {
 			g.table.Done(time.Now(), choice.Reservation, route.RequestResult{})
-			if asked < maxPermitRequests && ctx.Err() == nil {
+			if permitRequests < maxPermitRequests && ctx.Err() == nil {
 				continue
 			}
 			res := notRun(fault.UpstreamLimited)
-			res.RetryAt = retryAfterRest(now, now)
+			res.RetryAt = retryAfterBackoff(now, now)
 			return choice, res, false
 		}
 		if arrivals > 0 && !g.retryWindow(rq.service).Spend(now, g.retrySlack()) {
@@ -122,27 +122,27 @@
 	}
 }
 
-// noReplicaResult is the result of a request for which no replica could be chosen.
+// noReplicaResult returns the result of a request for which no replica could be chosen.
 func (g *Relay) noReplicaResult(now time.Time, rq *request, choice route.Choice, err error) dispatch.Result {
 	rq.replicaVersions = fmt.Sprint(g.table.CountByVersion(now, rq.service))
 	res := notRun(fault.CodeOf(err))
 	res.RetryAt = g.retryTime(now, rq, 0)
 	if res.Reason == fault.UpstreamResting || res.Reason == fault.UpstreamLimited {
-		res.RetryAt = retryAfterRest(now, choice.Availability.BackAt)
+		res.RetryAt = retryAfterBackoff(now, choice.Availability.BackAt)
 	}
 	return res
 }
 
-// recordChoice notes what is known of the replica that a send goes to.
+// recordChoice records for the log what is known of the chosen replica.
 func (rq *request) recordChoice(g *Relay, now time.Time, c route.Choice) {
 	rq.predicted, rq.queueWait, rq.reportAge = c.Predicted, c.QueueWait, c.ReportAge
 	rq.heldVersion, rq.versionLeft, rq.listedAt = c.Version, 0, c.ListedAt
-	if bound := g.versionDeadline(rq, c.Version); c.Engine && !bound.IsZero() {
-		rq.versionLeft = bound.Sub(now)
+	if deadline := g.versionDeadline(rq, c.Version); c.Engine && !deadline.IsZero() {
+		rq.versionLeft = deadline.Sub(now)
 	}
 }
 
-// reached reports whether a send that ended so has reached its replica.
+// reached reports whether an attempt with this result has reached its replica.
 func reached(res dispatch.Result) bool {
 	switch res.Reason {
 	case fault.Unreachable, fault.UpstreamLeaving, fault.UpstreamResting, fault.UpstreamLimited:
@@ -151,10 +151,9 @@
 	return true
 }
 
-// mayRetry reports whether the request may be sent once more after a send that
-// ended so.
-func mayRetry(rq *request, out *answer, own dispatch.Result) bool {
-	if own.Outcome == dispatch.NotRun && !out.started {
+// mayRetry reports whether the request may be sent again after an attempt with this result.
+func mayRetry(rq *request, out *answer, result dispatch.Result) bool {
+	if result.Outcome == dispatch.NotRun && !out.started {
 		return true
 	}
 	if !rq.repeatable() {
@@ -163,16 +162,17 @@
 	return !out.started || rq.route.Resumable && rq.lastEventID != ""
 }
 
-// recordAttempt adds what became of a send to the request's story.
+// recordAttempt adds the result of an attempt for the log.
 func (rq *request) recordAttempt(a *attempt, res dispatch.Result) {
-	ending := string(res.Reason)
-	if ending == "" {
-		ending = "done"
+	reason := string(res.Reason)
+	if reason == "" {
+		reason = "done"
 	}
-	rq.attemptResults = append(rq.attemptResults, a.to.ID+"="+ending)
+	rq.attemptResults = append(rq.attemptResults, a.to.ID+"="+reason)
 }
 
-// retryInMillis is when a refused caller is told to come back, in milliseconds.
+// retryInMillis returns the milliseconds until a refused caller should retry, or 0 if that is
+// not set.
 func retryInMillis(res dispatch.Result, now time.Time) int64 {
 	if res.RetryAt.IsZero() {
 		return 0
@@ -180,7 +180,7 @@
 	return res.RetryAt.Sub(now).Milliseconds()
 }
 
-// logRequest writes the one line that tells a request's story.
+// logRequest writes the log line of a request.
 func (g *Relay) logRequest(rq *request, out *answer, res dispatch.Result) {
 	now := time.Now()
 	first := -time.Millisecond
@@ -191,5 +191,5 @@
 		"outcome", res.Outcome, "reason", res.Reason, "attempts", strings.Join(rq.attemptResults, ","),
 		"predicted_ms", rq.predicted.Milliseconds(), "wait_ms", rq.queueWait.Milliseconds(), "report_age_ms", rq.reportAge.Milliseconds(),
 		"client_retry", rq.retried, "holding", rq.replicaVersions, "retry_in_ms", retryInMillis(res, now), "first_ms", first.Milliseconds(), "pause_ms", out.longestGap.Milliseconds(), "took_ms", now.Sub(rq.arrivedAt).Milliseconds(), "left_ms", rq.deadline.Sub(now).Milliseconds(),
-		"prompt", rq.work.PromptTokens, "weights", rq.version, "held", rq.heldVersion, "held_for_ms", rq.versionLeft.Milliseconds(), "listed_at", rq.listedAt, "seen", rq.replicaStates, "limit", rq.limit, "sent_4s", rq.recentSends, "revision", rq.catalog.Position, "version", rq.catalog.Version)
+		"prompt", rq.workload.PromptTokens, "weights", rq.version, "held", rq.heldVersion, "held_for_ms", rq.versionLeft.Milliseconds(), "listed_at", rq.listedAt, "seen", rq.availability, "limit", rq.limit, "sent_4s", rq.recentSends, "revision", rq.catalog.Position, "version", rq.catalog.Version)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -27,21 +27,21 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Codec knows every message that a relay sends or takes.
+// Codec encodes and decodes every message that a relay sends or receives.
 var Codec = wire.NewCodec(peers.Messages)
 
-// Options are the seams of a Relay.
+// Options are the dependencies of a Relay.
 type Options struct {
 	Headers Headers
-	// Follower reads the platform's service, and Catalog translates what it reads.
+	// Follower reads the records of the platform's service, and BuildCatalog translates them.
 	Follower     *peers.Follower
 	BuildCatalog func(rs map[string]mirror.Record, at mirror.Position) *catalog.Catalog
-	Keeps        func(key string) bool // See mirror.Mirror.
-	Outlasts     mirror.HoldPolicy
+	KeepsHistory func(key string) bool // See mirror.Mirror.KeepsHistory.
+	HoldPolicy   mirror.HoldPolicy
 	Dial         func(ctx context.Context, addr string) (net.Conn, error) // To upstreams and gateways; TCP by default.
 }
 
-// Relay is one gateway. Use New.
+// Relay is a gateway. Use New to create one.
 type Relay struct {
 	Settings *settings.Relay
 	Metrics  *telemetry.Metrics
@@ -55,33 +55,33 @@
 	handlers *wire.Handlers
 	table    route.Table
 	conns    connPool
-	// reports is what agents tell this gateway for others.
+	// reports holds reports from agents that are forwarded to other gateways.
 	reports    reportBuffer
 	ctx        context.Context
 	cancel     context.CancelFunc
 	startedAt  time.Time
 	startDelay time.Duration
-	stopping   atomic.Pointer[drainTimes] // Set once the process is told to stop.
+	stopping   atomic.Pointer[drainTimes] // Set once the process has been told to stop.
 	timeouts   callerTimeouts
-	// suspects are requests under which replicas ended.
+	// suspects holds requests during which replicas terminated.
 	suspects  quarantine.Table
 	endProbes endProbes
-	// limitQueue is of which replicas' limits others are to hear.
+	// limitQueue holds the replicas whose limits are to be sent to other gateways.
 	limitQueue notifyQueue[fleet.Incarnation]
-	// endQueue is of which replicas' ends they are.
+	// endQueue holds the terminations that are to be sent to other gateways.
 	endQueue notifyQueue[replicaEnd]
 	bounds   atomic.Pointer[settings.RelayBounds]
 
 	mu             sync.Mutex
 	retryWindows   map[string]*limit.RetryWindow // By service; bounded by the configuration.
 	limiterStates  map[string]*limiterState      // By the ID of the replica.
-	limiterBackoff map[string]time.Time          // Limiters that did not answer, until when they are left alone.
+	limiterBackoff map[string]time.Time          // Until when no permits are requested from limiters that did not respond, by address.
 }
 
-// roleGateway is what a gateway calls itself towards other processes.
+// roleGateway is the role of a gateway in the handshake with other processes.
 const roleGateway = "gateway"
 
-// New returns a relay with its parts joined.
+// New returns a relay that is ready to run.
 func New(s *settings.Relay, o Options) (*Relay, error) {
 	m, err := telemetry.New()
 	if err != nil {
@@ -89,12 +89,12 @@
 	}
 	g := &Relay{
 		Settings: s, Metrics: m, options: o, startedAt: time.Now(), startDelay: startWait.Draw(), retryWindows: map[string]*limit.RetryWindow{}, limiterStates: map[string]*limiterState{}, limiterBackoff: map[string]time.Time{},
-		table: route.Table{Hall: s.Hall, DelistGrace: lapseAfter(&s.RelayBounds)}, conns: connPool{Dial: o.Dial},
+		table: route.Table{Hall: s.Hall, DelistGrace: delistGrace(&s.RelayBounds)}, conns: connPool{Dial: o.Dial},
 		endProbes: endProbes{Dial: o.Dial},
 	}
 	g.headers = &g.options.Headers
 	g.bounds.Store(&s.RelayBounds)
-	g.mirror.KeepsHistory, g.mirror.HoldPolicy, g.mirror.OnEvent = o.Keeps, o.Outlasts, peers.LogMirrorEvent
+	g.mirror.KeepsHistory, g.mirror.HoldPolicy, g.mirror.OnEvent = o.KeepsHistory, o.HoldPolicy, peers.LogMirrorEvent
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.handlers = &wire.Handlers{}
 	const ping, stall = 500 * time.Millisecond, 1500 * time.Millisecond
@@ -119,8 +119,8 @@
 	wire.On(g.handlers, g.serveSubscribe)
 	wire.On(g.handlers, g.serveStatus)
 	wire.On(g.handlers, g.serveReports)
-	wire.On(g.handlers, g.serveAskPermit)
-	wire.On(g.handlers, g.serveLimitWords)
+	wire.On(g.handlers, g.servePermitRequest)
+	wire.On(g.handlers, g.serveReplicaLimits)
 	wire.On(g.handlers, g.serveReplicaEnds)
 	g.options.Follower.Mirror = &g.mirror
 	g.options.Follower.Needed = g.shouldWatch
@@ -132,27 +132,28 @@
 	return g, nil
 }
 
-// checksPerApply is how often a gateway that watches reads the platform's revision within
-// the time in which a configuration is to be in force: what is found has to be read and
-// to reach all.
+// checksPerApply is how often a gateway that watches the platform reads its revision within
+// the time allowed for applying a configuration. A change that is found must still be read and
+// reach all gateways within that time.
 const checksPerApply = 6
 
-// lapseMargin is how much sooner than a leaving replica must be left alone one is
-// that has vanished from the list.
-const lapseMargin = 800 * time.Millisecond
+// delistMargin is subtracted from the drain time of a leaving replica to give the time for
+// which a replica that has vanished from the list may still be used.
+const delistMargin = 800 * time.Millisecond
 
-func lapseAfter(b *settings.RelayBounds) time.Duration { return max(0, b.DrainWithin-lapseMargin) }
+func delistGrace(b *settings.RelayBounds) time.Duration { return max(0, b.DrainWithin-delistMargin) }
 
-// startWait is for how long a gateway that has just started waits for others.
+// startWait is how long a gateway that has just started waits for its peers before it reads
+// the platform itself.
 var startWait = peers.StartDelay{
 	EarlyOneIn: 8,
 	Early:      50 * time.Millisecond, EarlyJitter: 250 * time.Millisecond,
 	Later: 600 * time.Millisecond, LaterJitter: 900 * time.Millisecond,
 }
 
-// shouldWatch reports whether this gateway is to read the platform itself. While it
-// knows nothing, the gateways that all others ask first do so at once, and the
-// others once those had time to tell.
+// shouldWatch reports whether this gateway should watch the platform itself. While it has no
+// records, gateways that others join through watch at once, and others only after startDelay,
+// so that those have time to pass the records on.
 func (g *Relay) shouldWatch() bool {
 	if g.mirror.At() > 0 {
 		return g.gossip.ShouldWatch()
@@ -160,13 +161,14 @@
 	return slices.Contains(g.Settings.Join, g.Settings.Listen) || time.Since(g.startedAt) >= g.startDelay
 }
 
-// peerPingInterval is the time between pings of two gateways, where there are so many that
-// pings would be most of what they say: they announce themselves, and a lost one is not
-// waited for.
+// peerPingInterval is the interval between pings of two gateways when there are so many that
+// pings would dominate their traffic. Gateways announce themselves by gossip, and nothing
+// waits for the detection of a lost one.
 const peerPingInterval = 2 * time.Second
 
-// pingInterval gives the time between pings on a connection, zero for the usual one. Agents are
-// pinged as usual wherever they are: that shows a slow link.
+// pingInterval returns the interval between pings on a connection, or zero for the default.
+// Agents are always pinged at the default interval, because the ping delay reveals a slow
+// link.
 func (g *Relay) pingInterval(peer wire.Hello) time.Duration {
 	if peer.Role == roleGateway && g.gossip.ManyGateways() {
 		return peerPingInterval
@@ -174,13 +176,13 @@
 	return 0
 }
 
-// peerRedialDelay is how long another gateway is left alone after it was not reached.
+// peerRedialDelay is the wait before redialling a gateway that could not be reached.
 const peerRedialDelay = 100 * time.Millisecond
 
-// mirrorEmpty reports whether no record of the platform is known yet.
+// mirrorEmpty reports whether the mirror has no records of the platform yet.
 func (g *Relay) mirrorEmpty() bool { return g.mirror.At() == 0 }
 
-// AddTasks adds to k what a relay does without being asked.
+// AddTasks adds the background tasks of the relay to k.
 func (g *Relay) AddTasks(k *kernel.Kernel) {
 	k.Add("platform", g.options.Follower, g.options.Follower.Run)
 	k.AddTask(g.options.Follower.RunChecks)
@@ -193,7 +195,7 @@
 	k.AddTask(g.sweep)
 }
 
-// buildCatalogs turns what the mirror holds into catalogs.
+// buildCatalogs builds a new catalog whenever the mirror changes.
 func (g *Relay) buildCatalogs(ctx context.Context) error {
 	for ctx.Err() == nil {
 		_, changed := g.mirror.Watch()
@@ -205,7 +207,7 @@
 			g.catalog.Set(c)
 			if c.Config != nil {
 				for _, id := range g.table.Sync(now, c.Upstreams, c.Config.Services) {
-					telemetry.Log("upstream_lapsed", "id", id, "used_for", lapseAfter(g.bounds.Load()), "revision", c.Position)
+					telemetry.Log("upstream_lapsed", "id", id, "used_for", delistGrace(g.bounds.Load()), "revision", c.Position)
 				}
 				if c.Version != old.Version {
 					g.timeouts.prune(c.Config.Routes)
@@ -221,17 +223,18 @@
 	return nil
 }
 
-// versionAges lists how long ago each of the last versions was named, as far as this process
-// knows: when requests may no longer begin on an older one counts from that.
-func versionAges(w catalog.Target, now time.Time) string {
+// versionAges lists how long ago each of the last versions was set as the target, as far as
+// this process can tell. The deadline for starting requests on an older version counts from
+// that.
+func versionAges(target catalog.Target, now time.Time) string {
 	var out []string
-	for _, s := range w.Changes {
-		out = append(out, fmt.Sprintf("%d:%s", s.Version, now.Sub(s.SetAt).Round(time.Millisecond)))
+	for _, change := range target.Changes {
+		out = append(out, fmt.Sprintf("%d:%s", change.Version, now.Sub(change.SetAt).Round(time.Millisecond)))
 	}
 	return strings.Join(out, ",")
 }
 
-// logChanges writes a line for each thing that the process now believes.
+// logChanges logs the differences between two catalogs.
 func logChanges(old, c *catalog.Catalog, now time.Time) {
 	if c.Version != old.Version {
 		telemetry.Log("configuration", "version", c.Version, "before", old.Version, "revision", c.Position, "routes", len(c.Config.Routes))
@@ -247,21 +250,21 @@
 			telemetry.Log("upstream_gone", "id", id, "service", u.Service, "addr", u.Addr, "revision", c.Position)
 		}
 	}
-	for m, w := range c.Targets {
-		if o := old.Targets[m]; o.Version != w.Version {
-			telemetry.Log("version_named", "model", m, "version", w.Version, "before", o.Version, "steps", len(w.Changes), "named_ago", versionAges(w, now), "revision", c.Position)
+	for model, target := range c.Targets {
+		if o := old.Targets[model]; o.Version != target.Version {
+			telemetry.Log("version_named", "model", model, "version", target.Version, "before", o.Version, "steps", len(target.Changes), "named_ago", versionAges(target, now), "revision", c.Position)
 		}
 	}
 }
 
 func (g *Relay) sweep(ctx context.Context) error {
-	const every = 500 * time.Millisecond
-	t := time.NewTicker(every)
+	const interval = 500 * time.Millisecond
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
 		case now := <-t.C:
-			g.conns.sweep(now, func(l fleet.Incarnation) bool { return g.table.InUse(l, now) })
+			g.conns.sweep(now, func(inc fleet.Incarnation) bool { return g.table.InUse(inc, now) })
 			g.endProbes.sweep(now)
 			g.sweepLimiters(now)
 		case <-ctx.Done():
@@ -270,7 +273,7 @@
 	}
 }
 
-// retryWindow returns the bound on repeats of a service.
+// retryWindow returns the retry budget of a service.
 func (g *Relay) retryWindow(service string) *limit.RetryWindow {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -283,29 +286,29 @@
 	return w
 }
 
-// retryShare is the part of the bound on repeats that is used, since gateways
-// share nothing and callers' requests are counted where they arrive.
+// retryShare is the fraction of the retry budget that is used, because gateways do not share
+// their counts and callers' requests are counted where they arrive.
 const retryShare = 0.8
 
-// retrySlack is this gateway's part of the repeats that are free. A gateway that
-// knows of few others may be cut off, so it never takes more than a third, and one
-// that was heard of counts for a while after it has gone. What the process before
-// this one spent is not known, so a new one's part grows from nothing.
+// retrySlack returns this gateway's share of the retries that are allowed beyond the ratio. A
+// gateway with few known peers may be cut off, so it takes a third at most, and peers count
+// for a while after they are gone. It is unknown how many retries the previous process of this
+// gateway used, so the share of a new process grows from zero over one window.
 func (g *Relay) retrySlack() float64 {
-	const fewest = 3
+	const minPeers = 3
 	b := g.bounds.Load()
-	grown := min(1, float64(time.Since(g.startedAt))/float64(b.RetryWindow))
-	return grown * retryShare * float64(b.RetrySlack) / float64(max(fewest, g.gossip.KnownCount()))
+	ramp := min(1, float64(time.Since(g.startedAt))/float64(b.RetryWindow))
+	return ramp * retryShare * float64(b.RetrySlack) / float64(max(minPeers, g.gossip.KnownCount()))
 }
 
-// Reload puts new settings in force. What would need a restart is refused, and
-// the old ones stay.
+// Reload applies new settings. Settings that can be changed only by a restart are refused, and
+// the old settings stay in force.
 func (g *Relay) Reload(s *settings.Relay) error {
 	if !g.Settings.Fixed(s) {
-		return fault.New(fault.BadConfig, "names and addresses change only with a restart")
+		return fault.New(fault.BadConfig, "names and addresses can be changed only by a restart")
 	}
 	g.bounds.Store(&s.RelayBounds)
-	g.table.SetDelistGrace(lapseAfter(&s.RelayBounds))
+	g.table.SetDelistGrace(delistGrace(&s.RelayBounds))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, w := range g.retryWindows {
@@ -314,7 +317,7 @@
 	return nil
 }
 
-// Close ends every connection of the relay.
+// Close closes all connections of the relay.
 func (g *Relay) Close() { g.cancel() }
 
 var _ http.Handler = (*Relay)(nil)
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -13,47 +13,46 @@
 	"github.com/poststand/poststand/route"
 )
 
-// request is one request on its way through the gateway. It is decided by one
-// catalog from start to end.
+// request is one request of a caller. It is routed by a single catalog from start to end.
 type request struct {
-	id              string         // Of the caller's attempt.
-	key             quarantine.Key // The same for each try at the same request.
-	method          string
-	target          string // The path and query, as they came.
-	header          http.Header
-	host            string
-	body            []byte
-	catalog         *catalog.Catalog
-	routeName       string
-	route           *config.Route
-	service         string
-	organisation    string
-	rank            int
-	arrivedAt       time.Time
-	deadline        time.Time // The caller's or the route's, whichever is first.
-	retried         bool      // Its caller has most likely been refused before.
-	work            route.Workload
-	lastEventID     string             // What a stream has been shown up to.
-	version         uint64             // Of the first part of the answer; every further part must be of it.
-	attempts        int                // So far.
-	next            *attempt           // Where the stream goes on, if that has begun already.
-	predicted       time.Duration      // Until the first event, at the replica that was last chosen,
-	queueWait       time.Duration      // of it before its own work begins,
-	reportAge       time.Duration      // and how old its agent's report was; -1 ms without one.
-	replicaVersions string             // What replicas were known to hold, where none could be chosen.
-	heldVersion     uint64             // The version that the replica which was last chosen was believed to hold,
-	versionLeft     time.Duration      // and how long requests could yet begin on it when it was chosen; zero if for ever.
-	listedAt        mirror.Position    // The position of its entry,
-	replicaStates   route.Availability // and how all replicas stood then.
-	limit           route.Limit        // That the replica was believed to have to which it was last sent,
-	recentSends     int                // and how many this gateway had sent there of late, this one among them.
-	struckRound     int                // The highest round of sends after which the replica may have ended, in this try.
-	verdict         quarantine.Status  // Of the request, when it was last asked for.
-	attemptResults  []string           // What became of each send, for the log.
+	id               string         // ID of the caller's attempt.
+	key              quarantine.Key // The same for all attempts at the same request.
+	method           string
+	target           string // Path and query as received.
+	header           http.Header
+	host             string
+	body             []byte
+	catalog          *catalog.Catalog
+	routeName        string
+	route            *config.Route
+	service          string
+	organisation     string
+	rank             int
+	arrivedAt        time.Time
+	deadline         time.Time // Of the caller or the route, whichever is earlier.
+	retried          bool      // The caller has most likely been refused before.
+	workload         route.Workload
+	lastEventID      string             // Of the last stream event sent to the caller.
+	version          uint64             // Of the first part of the answer; all further parts must have it too.
+	attempts         int                // Made so far.
+	next             *attempt           // Continues the stream, if already opened.
+	predicted        time.Duration      // Time until the first event, at the replica chosen last.
+	queueWait        time.Duration      // Part of predicted before the replica starts on the request.
+	reportAge        time.Duration      // Age of the agent's report about that replica; -1 ms if there is none.
+	replicaVersions  string             // Versions that replicas hold, if none could be chosen.
+	heldVersion      uint64             // Version that the replica chosen last is believed to hold.
+	versionLeft      time.Duration      // Time left to start requests on that version when it was chosen; zero if unlimited.
+	listedAt         mirror.Position    // Position of the replica's catalog entry.
+	availability     route.Availability // Availability of all replicas when it was chosen.
+	limit            route.Limit        // Believed limit of the replica that was last sent to.
+	recentSends      int                // Recent requests of this gateway to that replica, including this one.
+	struckRound      int                // Highest strike round of the attempts after which a replica may have terminated.
+	quarantineStatus quarantine.Status  // Result of the last quarantine lookup.
+	attemptResults   []string           // Result of each attempt, for the log.
 }
 
-// quarantineKey returns what tells this request from others, whoever sends it on: its path, who
-// asks and what.
+// quarantineKey returns the key that identifies this request at every gateway, computed from
+// its organisation, target and body.
 func (rq *request) quarantineKey() quarantine.Key {
 	return quarantine.KeyOf([]byte(rq.organisation), []byte(rq.target), rq.body)
 }
@@ -64,44 +63,43 @@
 // runsModel reports whether the service runs a model.
 func (rq *request) runsModel() bool { return rq.catalog.Config.Services[rq.service].Model != "" }
 
-// routeAsk is what a replica is chosen for.
-func (rq *request) routeAsk(g *Relay, exclude map[string]bool) route.Criteria {
+// routeCriteria returns the criteria for choosing a replica.
+func (rq *request) routeCriteria(g *Relay, exclude map[string]bool) route.Criteria {
 	return route.Criteria{
-		Service: rq.service, Workload: rq.work, Version: rq.version, Exclude: exclude, Rank: rq.rank,
+		Service: rq.service, Workload: rq.workload, Version: rq.version, Exclude: exclude, Rank: rq.rank,
 		LatestStart:    func(v uint64) time.Time { return g.versionDeadline(rq, v) },
 		LatestDeadline: func(v uint64) time.Time { return g.queueDeadline(rq, v) },
 	}
 }
 
-// parseWork reads how much a request asks for. What it does not say is taken to be
-// as usual.
-func parseWork(d *Headers, h http.Header, e config.Engine) route.Workload {
+// parseWorkload returns the workload of a request, with the engine's usual values for what its
+// headers do not specify.
+func parseWorkload(names *Headers, h http.Header, e config.Engine) route.Workload {
 	if e.ReadRate <= 0 {
 		return route.Workload{}
 	}
 	w := route.Workload{PromptTokens: e.UsualPrompt, AnswerTokens: e.UsualAnswer}
-	prompt, most, _ := strings.Cut(h.Get(d.Tokens), ",")
+	prompt, maxAnswer, _ := strings.Cut(h.Get(names.Tokens), ",")
 	if n, err := strconv.Atoi(strings.TrimSpace(prompt)); err == nil && n >= 0 {
 		w.PromptTokens = n
 	}
-	bound, err := strconv.Atoi(strings.TrimSpace(most))
-	if guess, gerr := strconv.Atoi(h.Get(d.LengthHint)); gerr == nil && guess > 0 {
-		w.AnswerTokens = guess
+	maxTokens, err := strconv.Atoi(strings.TrimSpace(maxAnswer))
+	if hint, herr := strconv.Atoi(h.Get(names.LengthHint)); herr == nil && hint > 0 {
+		w.AnswerTokens = hint
 	}
-	if err == nil && bound > 0 {
-		w.AnswerTokens, w.MaxAnswerTokens = min(w.AnswerTokens, bound), bound
+	if err == nil && maxTokens > 0 {
+		w.AnswerTokens, w.MaxAnswerTokens = min(w.AnswerTokens, maxTokens), maxTokens
 	}
 	return w
 }
 
-// hopByHopHeaders concern one connection and are never passed on.
+// hopByHopHeaders apply to a single connection and are never forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-// removeHopByHop removes what concerns one connection, and what its Connection header
-// names.
+// removeHopByHop removes hop-by-hop headers, including those that the Connection header lists.
 func removeHopByHop(h http.Header) {
 	for _, v := range h["Connection"] {
 		for _, name := range strings.Split(v, ",") {
@@ -115,22 +113,22 @@
 	}
 }
 
-// forwardedHeader returns the headers that every send of the request shares.
-func (rq *request) forwardedHeader(d *Headers, in http.Header) http.Header {
+// forwardedHeader returns the headers that all attempts of the request share.
+func (rq *request) forwardedHeader(names *Headers, in http.Header) http.Header {
 	h := in.Clone()
 	removeHopByHop(h)
 	for _, name := range []string{
-		"Authorization", "Content-Length", "Expect", d.Organisation, d.ExpectReplica, d.ExpectVersion, d.Rank, d.Incarnation, d.NotRun,
-		d.Signature,
+		"Authorization", "Content-Length", "Expect", names.Organisation, names.ExpectReplica, names.ExpectVersion, names.Rank, names.Incarnation, names.NotRun,
+		names.Signature,
 	} {
 		h.Del(name)
 	}
 	if rq.organisation != "" {
-		h.Set(d.Organisation, rq.organisation)
+		h.Set(names.Organisation, rq.organisation)
 	}
 	if rq.runsModel() {
-		const most = 9
-		h.Set(d.Rank, strconv.Itoa(max(0, min(most, rq.rank))))
+		const maxRank = 9
+		h.Set(names.Rank, strconv.Itoa(max(0, min(maxRank, rq.rank))))
 	}
 	return h
 }
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -12,19 +12,19 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Times of a relay's life.
+// Times and limits of a relay's server.
 const (
-	balancerNotice    = 3200 * time.Millisecond // Two misses of the balancer, and the one it may be about to see.
-	streamCutoff      = 2800 * time.Millisecond // By then the balancer has noticed, unless it uses all gateways of a hall as too few are ready.
-	exitMargin        = 300 * time.Millisecond  // Before the process would be killed.
-	answerMargin      = 100 * time.Millisecond  // Before it leaves the last answers are given.
-	callerIdleTimeout = 2 * time.Minute         // Longer than callers keep a connection.
+	balancerNotice    = 3200 * time.Millisecond // Two failed health checks of the load balancer, and one that may be in progress.
+	streamCutoff      = 2800 * time.Millisecond // The load balancer has noticed by then, unless it uses all gateways of a hall because too few are ready.
+	exitMargin        = 300 * time.Millisecond  // Before the end of the grace period, when the process would be killed.
+	answerMargin      = 100 * time.Millisecond  // Between the last answers and the exit.
+	callerIdleTimeout = 2 * time.Minute         // Longer than callers keep an idle connection.
 	readHeaderTimeout = 10 * time.Second
 	maxHeaderBytes    = 64 << 10
-	peerConfigWait    = 1500 * time.Millisecond // Peers may know a newer configuration than the platform tells.
+	peerConfigWait    = 1500 * time.Millisecond // Peers may have a newer configuration than the platform returns.
 )
 
-// Ready returns nil while the process may be sent requests.
+// Ready returns nil while the process may receive requests.
 func (g *Relay) Ready() error {
 	if g.draining() {
 		return fault.New(fault.Draining, "")
@@ -44,12 +44,12 @@
 	})
 }
 
-// Server returns what accepts other processes' connections.
+// Server returns the server for connections of other processes.
 func (g *Relay) Server() *wire.Server {
 	return &wire.Server{Local: g.pool.Local, Codec: Codec, Handlers: g.handlers, Options: g.pool.Options}
 }
 
-// Run runs the relay until ctx ends, and then drains.
+// Run runs the relay until ctx ends, and then drains it.
 func (g *Relay) Run(ctx context.Context) error {
 	s := g.Settings
 	var lns [3]net.Listener
@@ -75,13 +75,13 @@
 		a := &telemetry.Admin{Metrics: g.Metrics, Ready: g.Ready, Status: func() any { return g.Status() }}
 		k.AddTask(func(ctx context.Context) error { return telemetry.ServeHTTP(ctx, admin, a.Server()) })
 	}
-	k.AddTask(func(own context.Context) error { return g.ServeCallers(ctx, own, lns[2]) })
+	k.AddTask(func(lifetime context.Context) error { return g.ServeCallers(ctx, lifetime, lns[2]) })
 	telemetry.Log("gateway_started", "box", s.Box, "hall", s.Hall, "incarnation", g.pool.Local.Incarnation)
 	defer g.Close()
 	return k.Run(context.Background())
 }
 
-// Status is what a relay says of itself.
+// Status is the state that a relay reports about itself.
 type Status struct {
 	Role     string                    `json:"role"`
 	Box      string                    `json:"box"`
@@ -90,12 +90,12 @@
 	Revision uint64                    `json:"revision"`
 	Version  uint64                    `json:"configuration"`
 	Draining bool                      `json:"draining"`
-	Watching bool                      `json:"watching"` // It watches the platform itself.
+	Watching bool                      `json:"watching"` // Whether this gateway watches the platform itself.
 	Peers    []string                  `json:"peers"`
-	Weights  map[string]map[uint64]int `json:"weights"` // Replicas by service and version.
+	Weights  map[string]map[uint64]int `json:"weights"` // Number of replicas by service and version.
 }
 
-// Status returns how the relay stands.
+// Status returns the current state of the relay.
 func (g *Relay) Status() *Status {
 	c := g.catalog.Get()
 	s := &Status{
--- a/internal/relay/said.go
+++ b/internal/relay/said.go
@@ -12,22 +12,22 @@
 	"github.com/poststand/poststand/route"
 )
 
-// retryAfterHeader is the header that says for how many seconds who answers wants nothing more.
+// retryAfterHeader gives the seconds for which a replica wants no more requests.
 const retryAfterHeader = "Retry-After"
 
-// recordHeaders takes note of what an answer says of its replica: that it leaves, for how long it wants
-// rest, and how much it takes. It counts at once, for an answer of any kind, from its head on.
-// The list may tell of it much later, or never, while the platform is away, and requests would
-// go on to a replica that has said what it wants.
+// recordHeaders records the state of a replica given in the header of a response: that it is
+// leaving, for how long it wants no requests, and its limit. Responses of any kind count, as
+// soon as their header is read. The platform's list may show this much later, or never while
+// the platform is unavailable, and requests would continue to go to the replica meanwhile.
 func (a *attempt) recordHeaders(resp *http.Response) {
-	who := a.sender(resp)
-	a.recordLeaving(resp, who)
-	a.recordRest(resp, who)
-	a.recordLimit(resp, who)
+	replica := a.sender(resp)
+	a.recordLeaving(resp, replica)
+	a.recordBackoff(resp, replica)
+	a.recordLimit(resp, replica)
 }
 
-// sender returns the replica that an answer is of. Where another one has the address now, that
-// one has turned the request away and said so.
+// sender returns the replica that sent a response. If another replica has taken over the
+// address, it has refused the request and gives its own ID.
 func (a *attempt) sender(resp *http.Response) fleet.Incarnation {
 	id := resp.Header.Get(a.relay.headers.Incarnation)
 	if id == "" || id == a.to.ID {
@@ -36,97 +36,99 @@
 	return fleet.Incarnation{ID: id}
 }
 
-// leavingValue is the value that says that a replica leaves, and stays the one that does not.
+// Values of the Leaving header.
 const (
 	leavingValue = "1"
 	stayingValue = "0"
 )
 
-func (a *attempt) recordLeaving(resp *http.Response, who fleet.Incarnation) {
+func (a *attempt) recordLeaving(resp *http.Response, replica fleet.Incarnation) {
 	for _, v := range resp.Header.Values(a.relay.headers.Leaving) {
 		switch strings.TrimSpace(v) {
 		case leavingValue:
-			if a.relay.table.MarkLeaving(who, time.Now()) {
+			if a.relay.table.MarkLeaving(replica, time.Now()) {
 				a.relay.Metrics.Event("upstream_leaves", "")
-				a.log("upstream_leaves", resp, who)
+				a.log("upstream_leaves", resp, replica)
 			}
 		case stayingValue, "":
 		default:
-			a.logUnreadable(resp, who, a.relay.headers.Leaving, v)
+			a.logUnreadable(resp, replica, a.relay.headers.Leaving, v)
 		}
 	}
 }
 
-// recordRest takes note of the rest that a replica asks for as it turns a request away.
-func (a *attempt) recordRest(resp *http.Response, who fleet.Incarnation) {
+// recordBackoff records the time for which a replica that refuses a request wants no more
+// (Retry-After).
+func (a *attempt) recordBackoff(resp *http.Response, replica fleet.Incarnation) {
 	if resp.StatusCode != http.StatusServiceUnavailable && resp.StatusCode != http.StatusTooManyRequests {
 		return
 	}
 	for _, v := range resp.Header.Values(retryAfterHeader) {
-		rest, ok := times.ParseSeconds(v)
+		backoff, ok := times.ParseSeconds(v)
 		switch {
 		case !ok:
-			a.logUnreadable(resp, who, retryAfterHeader, v)
-		case rest > 0:
+			a.logUnreadable(resp, replica, retryAfterHeader, v)
+		case backoff > 0:
 			now := time.Now()
-			a.relay.table.MarkBackoff(who, now, now.Add(rest))
+			a.relay.table.MarkBackoff(replica, now, now.Add(backoff))
 			a.relay.Metrics.Event("upstream_rests", "")
-			a.log("upstream_rests", resp, who, "for", rest)
+			a.log("upstream_rests", resp, replica, "for", backoff)
 		}
 	}
 }
 
-// maxLimit is what a limit that is named higher counts as, in requests a second.
+// maxLimit caps announced limits, in requests per second.
 const maxLimit = 1e6
 
-// recordLimit takes note of how many requests the replica takes from all gateways together. An
-// answer without the word ends that, if its signature shows that it is of this replica.
-func (a *attempt) recordLimit(resp *http.Response, who fleet.Incarnation) {
+// recordLimit records the number of requests per second that the replica accepts from all
+// gateways together. A response without the header ends the limit, provided that its signature
+// shows that it is from this replica.
+func (a *attempt) recordLimit(resp *http.Response, replica fleet.Incarnation) {
 	l := route.Limit{Asked: a.startedAt, Heard: time.Now()}
 	if id := resp.Header.Get(a.relay.headers.RequestID); id != "" && id != a.rq.id {
-		l.Asked = time.Time{} // It answers a request of any time before.
+		l.Asked = time.Time{} // The response is to an earlier request, sent at an unknown time.
 	}
 	values := resp.Header.Values(a.relay.headers.Limit)
-	l.PerSecond, l.Named = a.lowestLimit(resp, who, values)
+	l.PerSecond, l.Named = a.lowestLimit(resp, replica, values)
 	if !l.Named && (len(values) > 0 || resp.Header.Get(a.relay.headers.Signature) == "") {
 		return
 	}
-	before, after := a.relay.table.UpdateLimit(who, l.Heard, l)
+	before, after := a.relay.table.UpdateLimit(replica, l.Heard, l)
 	if !before.SameRate(after) {
-		k := a.relay.limiterOf(who.ID)
+		lim := a.relay.limiterOf(replica.ID)
 		a.relay.Metrics.Event("upstream_limit", "")
-		a.log("upstream_limit", resp, who, "limit", after, "before", before, "limiter", k.addr, "gateways", k.live, "known", k.known)
-		a.relay.queueLimitTwice(who)
+		a.log("upstream_limit", resp, replica, "limit", after, "before", before, "limiter", lim.addr, "gateways", lim.live, "known", lim.known)
+		a.relay.queueLimitTwice(replica)
 	}
 }
 
-// lowestLimit returns the lowest of the limits that an answer names, and whether there is one
-// that can be read.
-func (a *attempt) lowestLimit(resp *http.Response, who fleet.Incarnation, values []string) (least float64, named bool) {
+// lowestLimit returns the lowest of the limits in a response, and whether there is a valid
+// one.
+func (a *attempt) lowestLimit(resp *http.Response, replica fleet.Incarnation, values []string) (lowest float64, found bool) {
 	for _, v := range strings.Split(strings.Join(values, ","), ",") {
 		n, ok := decimal.Parse(v)
 		switch {
-		case ok && (!named || n < least):
-			least, named = min(n, maxLimit), true
+		case ok && (!found || n < lowest):
+			lowest, found = min(n, maxLimit), true
 		case !ok && len(values) > 0:
-			a.logUnreadable(resp, who, a.relay.headers.Limit, v)
+			a.logUnreadable(resp, replica, a.relay.headers.Limit, v)
 		}
 	}
-	return least, named
+	return lowest, found
 }
 
-// logUnreadable counts a header that tells nothing: the answer is taken as one without it.
-func (a *attempt) logUnreadable(resp *http.Response, who fleet.Incarnation, header, value string) {
-	const most = 40
+// logUnreadable counts and logs an invalid header. The response is treated as if it had none.
+func (a *attempt) logUnreadable(resp *http.Response, replica fleet.Incarnation, header, value string) {
+	const maxLen = 40
 	a.relay.Metrics.Event("upstream_unreadable", header)
-	a.log("upstream_unreadable", resp, who, "header", header, "value", value[:min(most, len(value))])
+	a.log("upstream_unreadable", resp, replica, "header", header, "value", value[:min(maxLen, len(value))])
 }
 
-// log writes a line of what an answer told, to which request, and what the list said of the
-// replica when it was chosen.
-func (a *attempt) log(event string, resp *http.Response, who fleet.Incarnation, more ...any) {
+// log logs an event about a response, with the request that it belongs to and the position of
+// the replica's list entry when it was chosen.
+func (a *attempt) log(event string, resp *http.Response, replica fleet.Incarnation, fields ...any) {
 	telemetry.Log(event, append([]any{
-		"id", who.ID, "addr", a.to.Addr, "service", a.to.Service, "request", a.rq.id, "status", resp.StatusCode,
+		"id", replica.ID, "addr", a.to.Addr, "service", a.to.Service, "request", a.rq.id, "status", resp.StatusCode,
 		"sent_ago", time.Since(a.startedAt), "listed_at", a.to.ListedAt,
-	}, more...)...)
+	}, fields...)...)
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -15,7 +15,7 @@
 
 const streamKind = config.RouteStream
 
-// errCaller types the failure to give a caller its answer.
+// errCaller is the code of a failure to write to the caller.
 const errCaller = fault.Cancelled
 
 var (
@@ -23,8 +23,8 @@
 	idField  = []byte("id:")
 )
 
-// stream passes on whole events as they come. What is left of an event that was
-// cut is not shown to the caller, so that the stream can go on elsewhere.
+// stream passes on complete events as they arrive. A partial event of a truncated stream is
+// not sent to the caller, so that the stream can continue on another replica.
 func (a *attempt) stream(ctx context.Context, resp *http.Response, framed bool) error {
 	buf := make([]byte, 0, 4<<10)
 	gap := max(minGapWait, gapWaitFactor*a.rq.route.Gap)
@@ -37,19 +37,19 @@
 		}
 		n, err := resp.Body.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		if whole := bytes.LastIndex(buf, eventEnd); whole >= 0 {
-			whole += len(eventEnd)
+		if end := bytes.LastIndex(buf, eventEnd); end >= 0 {
+			end += len(eventEnd)
 			a.recordFirst()
-			if id := parseLastID(buf[:whole]); id != "" {
+			if id := parseLastID(buf[:end]); id != "" {
 				a.rq.lastEventID = id
 			}
 			if a.rq.version == 0 {
-				a.rq.version = a.end.Version
+				a.rq.version = a.result.Version
 			}
-			if werr := a.out.writeEvents(resp, buf[:whole]); werr != nil {
+			if werr := a.out.writeEvents(resp, buf[:end]); werr != nil {
 				return fault.Wrap(errCaller, werr, "caller")
 			}
-			buf = append(buf[:0], buf[whole:]...)
+			buf = append(buf[:0], buf[end:]...)
 			_ = a.conn.SetReadDeadline(a.readDeadline(time.Now(), gap))
 			if a.shouldMove() {
 				if a.move(ctx) {
@@ -60,7 +60,7 @@
 		}
 		switch {
 		case err == io.EOF && len(buf) > 0 && !framed:
-			return fault.New(fault.Truncated, "in an event")
+			return fault.New(fault.Truncated, "stream ended inside an event")
 		case err == io.EOF && len(buf) > 0:
 			if werr := a.out.writeEvents(resp, buf); werr != nil {
 				return fault.Wrap(errCaller, werr, "caller")
@@ -74,29 +74,29 @@
 	}
 }
 
-// A replica that waits for its last streams to take another version could run
-// many others meanwhile. So a stream that it still runs after a while goes on at
-// another replica that holds the same version and is free enough.
+// A replica that is about to change its version waits for its last streams, and could run many
+// others meanwhile. So a stream that is still running there after moveAfter moves to another
+// replica that holds the same version and has enough capacity.
 const (
 	moveAfter    = 350 * time.Millisecond
-	moveGapShare = 0.5 // Of the gap that the route allows, until the other one's first event.
+	moveGapShare = 0.5 // Maximum predicted time to the first event there, as a fraction of the gap that the route allows.
 )
 
-// shouldMove reports whether the stream should go on elsewhere.
+// shouldMove reports whether the stream should move to another replica.
 func (a *attempt) shouldMove() bool {
 	rq := a.rq
 	return rq.route.Resumable && rq.lastEventID != "" && rq.attempts < max(1, rq.route.Attempts) &&
 		a.relay.table.ChangingFor(time.Now(), a.to.Reservation) >= moveAfter
 }
 
-// move begins the stream at another replica, of which its agent has told lately,
-// and reports whether that one took it. If not, the stream goes on where it is:
-// nothing of it was given up.
+// move opens the stream at another replica with a recent agent report, and reports whether
+// that replica accepted it. If not, the stream continues on the current replica, whose
+// connection is still open.
 func (a *attempt) move(ctx context.Context) bool {
 	g, rq, now := a.relay, a.rq, time.Now()
-	ask := rq.routeAsk(g, map[string]bool{a.to.ID: true})
-	ask.ReportedOnly = true
-	to, err := g.table.Pick(now, ask)
+	criteria := rq.routeCriteria(g, map[string]bool{a.to.ID: true})
+	criteria.ReportedOnly = true
+	to, err := g.table.Pick(now, criteria)
 	if err != nil {
 		return false
 	}
@@ -105,42 +105,41 @@
 		return false
 	}
 	rq.attempts++
-	next := &attempt{relay: g, rq: rq, out: a.out, to: to, headTimeout: rq.route.Gap, round: rq.nextStrikeRound(), epoch: rq.verdict.Epoch}
+	next := &attempt{relay: g, rq: rq, out: a.out, to: to, headTimeout: rq.route.Gap, round: rq.nextStrikeRound(), epoch: rq.quarantineStatus.Epoch}
 	resp, res := next.open(ctx)
 	if resp != nil && next.isContinuation(resp) {
 		next.resp, rq.next = resp, next
 		return true
 	}
-	keep := false
+	reuse := false
 	if resp != nil {
-		res, keep = next.forward(ctx, resp)
+		res, reuse = next.forward(ctx, resp)
 	}
-	next.release(keep)
+	next.release(reuse)
 	next.finish(ctx, res)
 	rq.recordAttempt(next, res)
 	return false
 }
 
-// isContinuation reports whether the head of an answer is that of the rest of the
-// stream.
+// isContinuation reports whether resp is the header of the rest of the stream.
 func (a *attempt) isContinuation(resp *http.Response) bool {
-	d := a.relay.headers
-	return resp.StatusCode == http.StatusOK && resp.Header.Get(d.NotRun) == "" &&
-		resp.Header.Get(d.Version) == strconv.FormatUint(a.rq.version, 10)
+	names := a.relay.headers
+	return resp.StatusCode == http.StatusOK && resp.Header.Get(names.NotRun) == "" &&
+		resp.Header.Get(names.Version) == strconv.FormatUint(a.rq.version, 10)
 }
 
-// parseLastID returns the id of the last event in b that has one.
+// parseLastID returns the ID of the last event in b that has one.
 func parseLastID(b []byte) string {
 	for len(b) > 0 {
-		at := bytes.LastIndexByte(bytes.TrimRight(b, "\n"), '\n')
-		line := bytes.TrimRight(b[at+1:], "\r\n")
-		if rest, ok := bytes.CutPrefix(line, idField); ok {
-			return string(bytes.TrimSpace(rest))
+		lineEnd := bytes.LastIndexByte(bytes.TrimRight(b, "\n"), '\n')
+		line := bytes.TrimRight(b[lineEnd+1:], "\r\n")
+		if id, ok := bytes.CutPrefix(line, idField); ok {
+			return string(bytes.TrimSpace(id))
 		}
-		if at < 0 {
+		if lineEnd < 0 {
 			return ""
 		}
-		b = b[:at+1]
+		b = b[:lineEnd+1]
 	}
 	return ""
 }
--- a/internal/relay/suspect.go
+++ b/internal/relay/suspect.go
@@ -10,40 +10,41 @@
 	"github.com/poststand/poststand/quarantine"
 )
 
-// suspectWindow is how long a request has been answered when its replica's end is no longer
-// put down to it: what ends a replica that begins to run it does so soon. Most requests
-// that are lost with a replica have been answered for longer.
+// suspectWindow is how long after the first data of an answer the end of its replica is still
+// attributed to the request. A request that crashes a replica does so soon after it starts,
+// and most requests that are lost with a replica have been running for longer.
 const suspectWindow = time.Second
 
-// minRunTime is how long a request must have been under way on a connection that was used
-// before. A replica that ended a moment ago breaks it as soon as the request comes, which
-// has not run: where all replicas end at once, a request was else lost with two of them.
+// minRunTime is how long a request must have been in progress on a reused connection to be a
+// suspect. If the replica terminated shortly before, the connection breaks as soon as the
+// request is sent, and the request has not run. Otherwise, when all replicas terminate at
+// once, one request would be struck for two of them.
 const minRunTime = 30 * time.Millisecond
 
-// isQuarantined asks what is known of a request before it is sent, and reports whether it
-// must not be.
+// isQuarantined looks up a request before it is sent and reports whether it must not be sent.
 func (g *Relay) isQuarantined(now time.Time, rq *request) bool {
-	known := g.suspects.Lookup(now, rq.key)
-	if known.Epoch != rq.verdict.Epoch {
-		rq.struckRound = 0 // It was cleared meanwhile.
+	status := g.suspects.Lookup(now, rq.key)
+	if status.Epoch != rq.quarantineStatus.Epoch {
+		rq.struckRound = 0 // The request was cleared in the meantime.
 	}
-	rq.verdict = known
-	if !rq.verdict.Quarantined() {
+	rq.quarantineStatus = status
+	if !rq.quarantineStatus.Quarantined() {
 		return false
 	}
 	g.Metrics.Event("quarantined", "")
 	telemetry.Log("request_quarantined", "id", rq.id, "key", rq.key, "route", rq.routeName, "organisation", rq.organisation,
-		"round", rq.verdict.Round, "replicas", rq.verdict.Replicas(), "last_ended_ago", rq.verdict.SinceLastStrike(now), "sends", rq.attempts, "for", rq.verdict.Until.Sub(now))
+		"round", rq.quarantineStatus.Round, "replicas", rq.quarantineStatus.Replicas(), "last_ended_ago", rq.quarantineStatus.SinceLastStrike(now), "sends", rq.attempts, "for", rq.quarantineStatus.Until.Sub(now))
 	return true
 }
 
-// nextStrikeRound is the round of the strike if a replica ends under the next send. What this
-// try has seen counts before it is known for sure.
-func (rq *request) nextStrikeRound() int { return 1 + max(rq.verdict.Round, rq.struckRound) }
+// nextStrikeRound returns the strike round that applies if a replica terminates during the
+// next attempt. Suspected terminations in this request's own attempts count before they are
+// confirmed.
+func (rq *request) nextStrikeRound() int { return 1 + max(rq.quarantineStatus.Round, rq.struckRound) }
 
-// updateSuspects learns from how a send ended: a request that was served is cleared, and one that
-// was lost with its connection is suspect if the replica ended. Whether it has is found out
-// while the request goes on, unless this may be the strike that quarantines it.
+// updateSuspects updates the quarantine state after an attempt. A request that was served is
+// cleared. One whose connection broke becomes a suspect if the replica has terminated; this is
+// checked in the background, unless the strike could quarantine the request.
 func (a *attempt) updateSuspects(res dispatch.Result) {
 	switch {
 	case res.Outcome == dispatch.Done && a.status < http.StatusMultipleChoices:
@@ -53,7 +54,7 @@
 	}
 }
 
-// connectionLost takes note of a connection that broke at now.
+// connectionLost handles a connection that broke at now.
 func (a *attempt) connectionLost(now time.Time) {
 	suspect := a.mayBeCause(now)
 	if suspect {
@@ -66,7 +67,7 @@
 	go a.recordStrike(now, suspect)
 }
 
-// mayBeCause reports whether the request can be why its replica ended, if it has: its
+// mayBeCause reports whether the request can be the cause if its replica has terminated. Its
 // connection broke at now.
 func (a *attempt) mayBeCause(now time.Time) bool {
 	if a.conn == nil || a.conn.uses > 0 && now.Sub(a.startedAt) < minRunTime {
@@ -81,7 +82,8 @@
 	}
 }
 
-// recordStrike takes note of a replica whose connection broke at a time, if it has ended.
+// recordStrike records the termination of a replica whose connection broke at the given time,
+// if it has terminated, and a strike against the request if it is a suspect.
 func (a *attempt) recordStrike(at time.Time, suspect bool) {
 	g, rq := a.relay, a.rq
 	if !g.endProbes.ended(a.to.ID, a.to.Addr) {
--- a/internal/relay/world_test.go
+++ b/internal/relay/world_test.go
@@ -109,7 +109,7 @@
 			RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 30,
 		},
 	}, relay.Options{
-		Headers: platform.Dialect, BuildCatalog: t.Catalog, Keeps: platform.KeepsHistory, Outlasts: platform.Precedence,
+		Headers: platform.Dialect, BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.Precedence,
 		Follower: &peers.Follower{ReadAll: s.Whole, Watch: s.Watch, Newest: s.Newest},
 		Dial: func(ctx context.Context, to string) (net.Conn, error) {
 			if w.dials != nil {
