--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -66,7 +66,7 @@
 // callerTimeouts records the longest timeout that callers of each route have sent.
 type callerTimeouts struct {
 	mu      sync.Mutex
-	longest map[string]time.Duration // By route; bounded by the configuration.
+	longest map[string]time.Duration // Keyed by route; bounded by the configuration.
 }
 
 // isRetry reports whether a caller has less time left than callers of its route start with,
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -15,7 +15,7 @@
 	started    bool // Part of the answer has been sent to the caller.
 	firstAt    time.Time
 	lastAt     time.Time     // When the last event was sent to the caller; zero before.
-	longestGap time.Duration // Between two events.
+	longestGap time.Duration // Longest gap between two events.
 
 	// The failure response of a replica, kept in case no other attempt does better.
 	failureHeader http.Header
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -16,11 +16,11 @@
 
 // Timeouts and limits of one attempt.
 const (
-	minFirstWait    = 900 * time.Millisecond // Minimum time that a repeatable request waits for its first data,
-	firstWaitFactor = 4                      // and the multiple of the predicted time that it waits, if that is longer.
-	minGapWait      = 900 * time.Millisecond // Minimum time to wait for the next event of a stream,
-	gapWaitFactor   = 2                      // and the multiple of the gap that the route allows, if that is longer.
-	maxStrayAnswers = 3                      // Responses skipped before the connection is abandoned.
+	minFirstWait    = 900 * time.Millisecond // Minimum time that a repeatable request waits for its first data.
+	firstWaitFactor = 4                      // Multiple of the predicted time that it waits, if that is longer.
+	minGapWait      = 900 * time.Millisecond // Minimum time to wait for the next event of a stream.
+	gapWaitFactor   = 2                      // Multiple of the route's event gap to wait, if that is longer.
+	maxStrayAnswers = 3                      // Responses read in search of the matching one before the connection is abandoned.
 	maxAnswerBytes  = 16 << 20
 	maxEventBytes   = 1 << 20
 )
@@ -39,8 +39,8 @@
 	idleTimeout time.Duration
 	// firstAt is when the first event or the complete answer arrived; zero before.
 	firstAt time.Time
-	round   int    // Of the strike, if the replica terminates during this attempt.
-	epoch   uint64 // Of the quarantine verdict when the request was sent.
+	round   int    // Strike round if the replica terminates during this attempt.
+	epoch   uint64 // Epoch of the quarantine status when the request was sent.
 	result  route.RequestResult
 	status  int
 }
--- a/internal/relay/conn.go
+++ b/internal/relay/conn.go
@@ -19,10 +19,10 @@
 
 // Idle times of connections to upstreams.
 const (
-	defaultIdle        = 1500 * time.Millisecond // Maximum where the upstream sends no Keep-Alive timeout.
+	defaultIdle        = 1500 * time.Millisecond // Idle limit where the upstream sends no Keep-Alive timeout.
 	idleMargin         = 700 * time.Millisecond  // Subtracted from the timeout that the upstream sends.
 	maxIdle            = 20 * time.Second
-	maxIdleUnsafe      = 400 * time.Millisecond // Maximum for requests that may not be repeated.
+	maxIdleUnsafe      = 400 * time.Millisecond // Idle limit for requests that may not be repeated.
 	maxIdlePerUpstream = 64
 )
 
@@ -49,7 +49,7 @@
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu   sync.Mutex
-	idle map[fleet.Incarnation][]*conn // By incarnation of the upstream, the most recently used last.
+	idle map[fleet.Incarnation][]*conn // Keyed by incarnation of the upstream; the most recently used is last.
 }
 
 // get returns a connection that was idle for less than idleLimit, or a new one. If dialling
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -141,8 +141,8 @@
 // admits reports whether a request may start. The length of a stream is hard to predict: the
 // first event of a long one is predicted no later than that of others, and the caller's length
 // hint is often far off. After streamsUntil, a stream therefore starts only if its caller's
-// deadline is before answersUntil. A plain answer can be waited for until then, so its
-// deadline is shortened instead, and its caller is informed when it passes.
+// deadline is not after answersUntil. A plain answer can be waited for until then, so its
+// deadline is shortened instead, and its caller receives a failure when it passes.
 func (d *drainTimes) admits(now time.Time, rq *request) bool {
 	if d == nil || !rq.deadline.After(d.answersUntil) {
 		return true
--- a/internal/relay/endprobe.go
+++ b/internal/relay/endprobe.go
@@ -27,7 +27,7 @@
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu     sync.Mutex
-	probes map[string]*endProbe // By the ID of the replica.
+	probes map[string]*endProbe // Keyed by replica ID.
 }
 
 // endProbe is one check whether a replica has terminated.
--- a/internal/relay/permit.go
+++ b/internal/relay/permit.go
@@ -25,7 +25,7 @@
 	permitTTL         = time.Second            // A permit must be used within this time.
 	limiterRetryDelay = 300 * time.Millisecond // Pause after a limiter did not respond.
 	limiterMovedDelay = 50 * time.Millisecond  // Pause after the asked gateway was not the limiter.
-	maxPermitRequests = 8                      // For one attempt of a request.
+	maxPermitRequests = 8                      // Maximum permit requests for one attempt of a request.
 	limiterStateTTL   = time.Minute            // State that is not used for this long is deleted.
 )
 
@@ -102,23 +102,23 @@
 	return true
 }
 
-// limiterBackoffUntil returns until when no permits are requested from a limiter that did not
-// respond, or zero.
-func (g *Relay) limiterBackoffUntil(now time.Time, limiter string) time.Time {
+// limiterBackoffUntil returns until when no permits are requested from the limiter at an
+// address because it did not respond, or zero.
+func (g *Relay) limiterBackoffUntil(now time.Time, addr string) time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if until := g.limiterBackoff[limiter]; until.After(now) {
+	if until := g.limiterBackoff[addr]; until.After(now) {
 		return until
 	}
 	return time.Time{}
 }
 
-// backOffLimiter suspends permit requests to a limiter, for all of its replicas. Otherwise
-// each request would wait for the time-out again.
-func (g *Relay) backOffLimiter(limiter string, until time.Time) {
+// backOffLimiter suspends permit requests to the limiter at an address, for all of its
+// replicas. Otherwise each request would wait for the time-out again.
+func (g *Relay) backOffLimiter(addr string, until time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.limiterBackoff[limiter] = until
+	g.limiterBackoff[addr] = until
 }
 
 // requestPermit requests a permit from the limiter, which may be this gateway.
@@ -189,8 +189,8 @@
 }
 
 // deleteLimiterState deletes the state of a limit whose limiter is now another gateway. If
-// this gateway becomes the limiter again, it does not know which permits the other one
-// granted, and starts without free permits.
+// this gateway becomes the limiter again, the permits that the other one granted are unknown,
+// and it starts without free permits.
 func (g *Relay) deleteLimiterState(replica string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -30,7 +30,7 @@
 	arrivals, runs := 0, 0 // Attempts that reached a replica, and those that may have run.
 	last := notRun(fault.NoUpstream)
 	defer func() {
-		if rq.next != nil { // It was opened and is not used.
+		if rq.next != nil { // The attempt was opened but is not used.
 			rq.next.release(false)
 			g.table.Done(time.Now(), rq.next.to.Reservation, route.RequestResult{})
 		}
@@ -136,9 +136,9 @@
 // recordChoice records for the log what is known of the chosen replica.
 func (rq *request) recordChoice(g *Relay, now time.Time, c route.Choice) {
 	rq.predicted, rq.queueWait, rq.reportAge = c.Predicted, c.QueueWait, c.ReportAge
-	rq.heldVersion, rq.versionLeft, rq.listedAt = c.Version, 0, c.ListedAt
+	rq.heldVersion, rq.versionTimeLeft, rq.listedAt = c.Version, 0, c.ListedAt
 	if deadline := g.versionDeadline(rq, c.Version); c.Engine && !deadline.IsZero() {
-		rq.versionLeft = deadline.Sub(now)
+		rq.versionTimeLeft = deadline.Sub(now)
 	}
 }
 
@@ -191,5 +191,5 @@
 		"outcome", res.Outcome, "reason", res.Reason, "attempts", strings.Join(rq.attemptResults, ","),
 		"predicted_ms", rq.predicted.Milliseconds(), "wait_ms", rq.queueWait.Milliseconds(), "report_age_ms", rq.reportAge.Milliseconds(),
 		"client_retry", rq.retried, "holding", rq.replicaVersions, "retry_in_ms", retryInMillis(res, now), "first_ms", first.Milliseconds(), "pause_ms", out.longestGap.Milliseconds(), "took_ms", now.Sub(rq.arrivedAt).Milliseconds(), "left_ms", rq.deadline.Sub(now).Milliseconds(),
-		"prompt", rq.workload.PromptTokens, "weights", rq.version, "held", rq.heldVersion, "held_for_ms", rq.versionLeft.Milliseconds(), "listed_at", rq.listedAt, "seen", rq.availability, "limit", rq.limit, "sent_4s", rq.recentSends, "revision", rq.catalog.Position, "version", rq.catalog.Version)
+		"prompt", rq.workload.PromptTokens, "weights", rq.version, "held", rq.heldVersion, "held_for_ms", rq.versionTimeLeft.Milliseconds(), "listed_at", rq.listedAt, "seen", rq.availability, "limit", rq.limit, "sent_4s", rq.recentSends, "revision", rq.catalog.Position, "version", rq.catalog.Version)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -72,10 +72,12 @@
 	endQueue notifyQueue[replicaEnd]
 	bounds   atomic.Pointer[settings.RelayBounds]
 
-	mu             sync.Mutex
-	retryWindows   map[string]*limit.RetryWindow // By service; bounded by the configuration.
-	limiterStates  map[string]*limiterState      // By the ID of the replica.
-	limiterBackoff map[string]time.Time          // Until when no permits are requested from limiters that did not respond, by address.
+	mu            sync.Mutex
+	retryWindows  map[string]*limit.RetryWindow // Keyed by service; bounded by the configuration.
+	limiterStates map[string]*limiterState      // Keyed by replica ID.
+	// limiterBackoff holds, by address, the limiters that did not respond, and until when no
+	// permits are requested from them.
+	limiterBackoff map[string]time.Time
 }
 
 // roleGateway is the role of a gateway in the handshake with other processes.
--- a/internal/relay/replicaend.go
+++ b/internal/relay/replicaend.go
@@ -10,7 +10,7 @@
 
 // replicaEnd is the termination of a replica that this gateway has observed.
 type replicaEnd struct {
-	replica string // Its ID.
+	replica string // ID of the replica.
 	at      time.Time
 }
 
--- a/internal/relay/reports.go
+++ b/internal/relay/reports.go
@@ -14,12 +14,12 @@
 
 // Intervals and limits for forwarding reports.
 const (
-	reportInterval          = 150 * time.Millisecond // Between two messages to a gateway in the same hall if only loads change.
+	reportInterval          = 150 * time.Millisecond // Interval between messages to a gateway in the same hall if only loads change.
 	otherHallReportInterval = time.Second            // The same for a gateway in another hall.
 	urgentReportDelay       = 20 * time.Millisecond  // Delay of an urgent change, to send those that occur together in one message.
-	forwardCheckInterval    = 500 * time.Millisecond // Between two updates of the set of receivers.
+	forwardCheckInterval    = 500 * time.Millisecond // Interval between updates of the set of receivers.
 	maxReportAge            = 2 * time.Second        // Older reports are not forwarded.
-	forwardRetryDelay       = 300 * time.Millisecond // After the stream to a gateway was lost.
+	forwardRetryDelay       = 300 * time.Millisecond // Pause after the stream to a gateway was lost.
 )
 
 // reportBuffer holds reports from agents, to be forwarded to gateways that those agents do not
@@ -63,7 +63,7 @@
 }
 
 // since returns the reports added after seq, the sequence number to continue from, and a
-// channel that is closed when an urgent report is added. If direct is set, it returns only
+// channel that is closed when an urgent report is added. If directOnly is set, it returns only
 // reports received from agents themselves. There is at most one report for each replica, the
 // newest.
 func (b *reportBuffer) since(seq uint64, directOnly bool, now time.Time) (out []peers.Report, last uint64, urgent <-chan struct{}) {
@@ -93,7 +93,8 @@
 	return max(time.Millisecond, at.Sub(now))
 }
 
-// has reports whether there are reports to forward.
+// has reports whether there are reports to forward. If directOnly is set, only reports
+// received from agents themselves count.
 func (b *reportBuffer) has(directOnly bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,7 +144,8 @@
 	return nil
 }
 
-// hallReceivers returns the other gateways of this hall, if there are reports for them.
+// hallReceivers returns the other gateways of this hall, or none if there is nothing to
+// forward.
 func (g *Relay) hallReceivers(live []peers.Member) []peers.Member {
 	if !g.reports.has(false) {
 		return nil
@@ -157,7 +159,7 @@
 	return out
 }
 
-// otherHalls returns the other halls, if there are reports for them.
+// otherHalls returns the other halls, or none if there is nothing to forward.
 func (g *Relay) otherHalls(live []peers.Member) []string {
 	if !g.reports.has(true) {
 		return nil
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -29,19 +29,19 @@
 	organisation     string
 	rank             int
 	arrivedAt        time.Time
-	deadline         time.Time // Of the caller or the route, whichever is earlier.
+	deadline         time.Time // Deadline of the caller or the route, whichever is earlier.
 	retried          bool      // The caller has most likely been refused before.
 	workload         route.Workload
-	lastEventID      string             // Of the last stream event sent to the caller.
-	version          uint64             // Of the first part of the answer; all further parts must have it too.
-	attempts         int                // Made so far.
-	next             *attempt           // Continues the stream, if already opened.
+	lastEventID      string             // ID of the last stream event sent to the caller.
+	version          uint64             // Version of the first part of the answer; all further parts must match it.
+	attempts         int                // Attempts made so far.
+	next             *attempt           // Attempt that continues the stream, if already opened.
 	predicted        time.Duration      // Time until the first event, at the replica chosen last.
 	queueWait        time.Duration      // Part of predicted before the replica starts on the request.
 	reportAge        time.Duration      // Age of the agent's report about that replica; -1 ms if there is none.
 	replicaVersions  string             // Versions that replicas hold, if none could be chosen.
 	heldVersion      uint64             // Version that the replica chosen last is believed to hold.
-	versionLeft      time.Duration      // Time left to start requests on that version when it was chosen; zero if unlimited.
+	versionTimeLeft  time.Duration      // Time left to start requests on that version when it was chosen; zero if unlimited.
 	listedAt         mirror.Position    // Position of the replica's catalog entry.
 	availability     route.Availability // Availability of all replicas when it was chosen.
 	limit            route.Limit        // Believed limit of the replica that was last sent to.
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -14,11 +14,15 @@
 
 // Times and limits of a relay's server.
 const (
-	balancerNotice    = 3200 * time.Millisecond // Two failed health checks of the load balancer, and one that may be in progress.
-	streamCutoff      = 2800 * time.Millisecond // The load balancer has noticed by then, unless it uses all gateways of a hall because too few are ready.
-	exitMargin        = 300 * time.Millisecond  // Before the end of the grace period, when the process would be killed.
-	answerMargin      = 100 * time.Millisecond  // Between the last answers and the exit.
-	callerIdleTimeout = 2 * time.Minute         // Longer than callers keep an idle connection.
+	// balancerNotice allows for two failed health checks of the load balancer, and one that
+	// may be in progress.
+	balancerNotice = 3200 * time.Millisecond
+	// streamCutoff is when the load balancer has noticed the drain, unless it uses all
+	// gateways of a hall because too few are ready.
+	streamCutoff      = 2800 * time.Millisecond
+	exitMargin        = 300 * time.Millisecond // Time left before the end of the grace period, when the process would be killed.
+	answerMargin      = 100 * time.Millisecond // Time between the last answers and the exit.
+	callerIdleTimeout = 2 * time.Minute        // Longer than callers keep an idle connection.
 	readHeaderTimeout = 10 * time.Second
 	maxHeaderBytes    = 64 << 10
 	peerConfigWait    = 1500 * time.Millisecond // Peers may have a newer configuration than the platform returns.
@@ -86,7 +90,7 @@
 	Role     string                    `json:"role"`
 	Box      string                    `json:"box"`
 	Hall     string                    `json:"hall"`
-	Era      uint64                    `json:"era"` // Of the platform's service; see mirror.Position.
+	Era      uint64                    `json:"era"` // Era of the platform's service; see mirror.Position.
 	Revision uint64                    `json:"revision"`
 	Version  uint64                    `json:"configuration"`
 	Draining bool                      `json:"draining"`
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -78,8 +78,10 @@
 // others meanwhile. So a stream that is still running there after moveAfter moves to another
 // replica that holds the same version and has enough capacity.
 const (
-	moveAfter    = 350 * time.Millisecond
-	moveGapShare = 0.5 // Maximum predicted time to the first event there, as a fraction of the gap that the route allows.
+	moveAfter = 350 * time.Millisecond
+	// moveGapShare limits the predicted time to the first event at the other replica, as a
+	// fraction of the gap that the route allows.
+	moveGapShare = 0.5
 )
 
 // shouldMove reports whether the stream should move to another replica.
