--- /dev/null
+++ b/internal/relay/endprobe.go
@@ -0,0 +1,94 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/poststand/poststand/internal/link"
+)
+
+const (
+	// endProbeTimeout is how long a replica may take to refuse a connection. One that does not
+	// respond may be cut off and does not count as terminated.
+	endProbeTimeout = 200 * time.Millisecond
+	// endProbeTTL is how long the result of a probe is valid: all connections of a replica
+	// break at the same moment when it terminates.
+	endProbeTTL = endProbeTimeout
+)
+
+// endProbes determines whether replicas whose connections broke have terminated. A broken
+// connection alone does not prove it and is no reason to suspect a request. Dial defaults to
+// link.Dial.
+type endProbes struct {
+	Dial func(ctx context.Context, addr string) (net.Conn, error)
+
+	mu     sync.Mutex
+	probes map[string]*endProbe // Keyed by replica ID.
+}
+
+// endProbe is one check whether a replica has terminated.
+type endProbe struct {
+	at    time.Time
+	done  chan struct{}
+	ended bool // The replica has terminated; set before done is closed.
+}
+
+// ended reports whether the replica at an address has terminated. It reuses the result of a
+// recent probe.
+func (e *endProbes) ended(id, addr string) bool {
+	p, isNew := e.probe(id)
+	if isNew {
+		p.ended = e.refusesConnection(addr)
+		close(p.done)
+	}
+	<-p.done
+	return p.ended
+}
+
+// probe returns the most recent probe of a replica, or a new one whose result the caller must
+// set.
+func (e *endProbes) probe(id string) (p *endProbe, isNew bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	now := time.Now()
+	if p := e.probes[id]; p != nil && now.Sub(p.at) <= endProbeTTL {
+		return p, false
+	}
+	if e.probes == nil {
+		e.probes = map[string]*endProbe{}
+	}
+	p = &endProbe{at: now, done: make(chan struct{})}
+	e.probes[id] = p
+	return p, true
+}
+
+// refusesConnection reports whether no process listens at an address.
+func (e *endProbes) refusesConnection(addr string) bool {
+	dial := e.Dial
+	if dial == nil {
+		dial = link.Dial
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), endProbeTimeout)
+	defer cancel()
+	c, err := dial(ctx, addr)
+	if err == nil {
+		_ = c.Close()
+		return false
+	}
+	return errors.Is(err, syscall.ECONNREFUSED)
+}
+
+// sweep deletes expired probes.
+func (e *endProbes) sweep(now time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for id, p := range e.probes {
+		if now.Sub(p.at) > endProbeTTL {
+			delete(e.probes, id)
+		}
+	}
+}
