--- a/weights/absent.go
+++ b/weights/absent.go
@@ -5,71 +5,72 @@
 	"time"
 )
 
-// originState is what a box knows of the origin.
+// originState is the state of the origin as this box has observed it or received it by gossip.
 type originState struct {
-	away     bool      // Nobody is known to have been served since a failure.
-	tryAt    time.Time // While it is away, when this box tries it.
-	backAt   time.Time // When turns begin, after it was away.
-	movedAt  time.Time // When it was last known to have served some box,
-	failedAt time.Time // and when it failed this one.
-	troubles int       // Failures in a row after which it served others.
-	leaveTil time.Time // It is left to others until then.
+	down         bool      // A fetch failed, and no box is known to have been served since.
+	probeAt      time.Time // When this box next probes the origin while it is down.
+	turnsFrom    time.Time // When turns start after the origin has recovered.
+	servedAt     time.Time // When the origin was last known to have served a box.
+	failedAt     time.Time // When a fetch of this box last failed.
+	loneFailures int       // Consecutive failures of this box while the origin served other boxes.
+	backoffUntil time.Time // This box does not use the origin until then.
 }
 
-// moved records that the origin has served some box.
-func (p *Plan) moved(now time.Time) {
+// originServed records that the origin has served some box. If it failed this box shortly
+// before, only this box is affected, and it backs off.
+func (p *Plan) originServed(now time.Time) {
 	o := &p.origin
-	o.movedAt = now
-	p.back(now)
-	if !o.failedAt.IsZero() && now.Sub(o.failedAt) < aloneIn+aloneChunks*p.perChunkAtOrigin() {
-		o.leaveTil = now.Add(min(troubleMost, troubleFirst<<min(o.troubles, 8)))
-		o.troubles++
+	o.servedAt = now
+	p.originUp(now)
+	if !o.failedAt.IsZero() && now.Sub(o.failedAt) < loneFailureWindow+loneFailureChunks*p.perChunkAtOrigin() {
+		o.backoffUntil = now.Add(min(maxOriginBackoff, minOriginBackoff<<min(o.loneFailures, 8)))
+		o.loneFailures++
 	}
 	o.failedAt = time.Time{}
 }
 
-// back records that the origin has begun to serve some box. All turns begin anew, once
-// other boxes whose tries are answered had time to say so.
-func (p *Plan) back(now time.Time) {
-	if p.origin.away {
-		p.origin.away = false
-		p.origin.backAt = now.Add(p.stagger())
-		clear(p.dueAt)
+// originUp records that the origin has started to serve some box. All turns restart after one
+// stagger, so that gossip from other boxes whose probes were answered can arrive first.
+func (p *Plan) originUp(now time.Time) {
+	if p.origin.down {
+		p.origin.down = false
+		p.origin.turnsFrom = now.Add(p.stagger())
+		clear(p.dueSince)
 	}
 }
 
-// lost records that the origin has failed some box: it is taken to be away until it is
-// known to have served one since.
-func (p *Plan) lost(now time.Time) {
-	if !p.origin.away {
-		p.origin.away = true
-		p.origin.tryAt = now.Add(p.probeWait())
+// originDown records that the origin has failed some box. It counts as down until it is known
+// to have served a box.
+func (p *Plan) originDown(now time.Time) {
+	if !p.origin.down {
+		p.origin.down = true
+		p.origin.probeAt = now.Add(p.probeWait())
 	}
 }
 
-// probeWait draws the time until this box's next try at an origin that is away. All
-// boxes together try it probesInStagger times in a stagger.
+// probeWait returns a random delay until this box's next probe of an origin that is down. All
+// boxes together send about probesPerStagger probes in one stagger.
 func (p *Plan) probeWait() time.Duration {
-	mean := float64(p.stagger()) / probesInStagger * float64(max(1, len(p.names)))
-	return time.Duration(min(probeMost*mean, -mean*math.Log(1-p.Rand.Float64())))
+	mean := float64(p.stagger()) / probesPerStagger * float64(max(1, len(p.members)))
+	return time.Duration(min(maxProbeFactor*mean, -mean*math.Log(1-p.Rand.Float64())))
 }
 
-// originFailed records a fetch from the origin that brought nothing.
+// originFailed records that a fetch from the origin failed without data.
 func (p *Plan) originFailed(now time.Time, chunk int) {
 	p.origin.failedAt = now
 	p.release(chunk, true)
-	p.lost(now)
+	p.originDown(now)
 }
 
-// originSpoilt records an answer of the origin that does not match its digest. The box
-// asks again at once, and leaves the chunk to others if that is spoilt too.
-func (p *Plan) originSpoilt(now time.Time, chunk int) {
-	p.moved(now)
-	p.spoilt[chunk]++
-	if p.spoilt[chunk]%spoiltAllowed != 0 {
+// originCorrupt records an answer of the origin that does not match its digest. The box
+// retries at once; after maxCorruptAnswers corrupt answers it leaves the chunk to other boxes.
+func (p *Plan) originCorrupt(now time.Time, chunk int) {
+	p.originServed(now)
+	p.corruptAnswers[chunk]++
+	if p.corruptAnswers[chunk]%maxCorruptAnswers != 0 {
 		return
 	}
 	p.release(chunk, false)
-	p.dueAt[chunk] = now
-	p.turn[chunk] = now.Add(p.claimFor())
+	p.dueSince[chunk] = now
+	p.turnAt[chunk] = now.Add(p.claimTerm())
 }
--- a/weights/choose.go
+++ b/weights/choose.go
@@ -6,21 +6,22 @@
 	"github.com/poststand/poststand/internal/times"
 )
 
-// duties fetches from the origin what is due there and this box's to claim.
-func (p *Plan) duties(now time.Time, wake *time.Time, todo []Action) []Action {
+// originFetches starts fetches from the origin of the chunks that are due and that this box
+// may claim.
+func (p *Plan) originFetches(now time.Time, wake *time.Time, todo []Action) []Action {
 	if p.HoldOrigin || p.YieldOrigin {
 		return todo
 	}
 	if p.Strategy.OrderKey == nil {
-		return p.everything(now, wake, todo)
+		return p.fetchAll(now, wake, todo)
 	}
-	p.renew(now, wake)
+	p.renewClaims(now, wake)
 	due := p.due(now, wake)
-	if p.origin.away { // Boxes that try it at the same moment fetch different chunks.
+	if p.origin.down { // Boxes that probe at the same time fetch different chunks.
 		p.Rand.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 	}
 	for _, i := range due {
-		if p.atOrigin >= p.mayAsk() {
+		if p.openAtOrigin >= p.originLimit() {
 			break
 		}
 		if p.mayClaim(now, i, wake) {
@@ -30,49 +31,48 @@
 	return todo
 }
 
-// everything fetches whatever is missing from the origin, for a strategy without an
-// order.
-func (p *Plan) everything(now time.Time, wake *time.Time, todo []Action) []Action {
-	if p.origin.away && p.origin.tryAt.After(now) {
-		earlier(wake, p.origin.tryAt)
+// fetchAll fetches all missing chunks from the origin, for a strategy without a ranking.
+func (p *Plan) fetchAll(now time.Time, wake *time.Time, todo []Action) []Action {
+	if p.origin.down && p.origin.probeAt.After(now) {
+		setEarlier(wake, p.origin.probeAt)
 		return todo
 	}
 	for i := range p.Chunks {
-		if p.atOrigin >= p.mayAsk() {
+		if p.openAtOrigin >= p.originLimit() {
 			break
 		}
 		if !p.have.Has(i) && len(p.fetching[i]) == 0 {
-			todo = append(todo, p.begin(now, Action{Chunk: i, From: Origin}))
+			todo = append(todo, p.startFetch(now, Action{Chunk: i, From: Origin}))
 		}
 	}
 	return todo
 }
 
-// offered reports whether a peer that is not left out has a chunk.
-func (p *Plan) offered(now time.Time, chunk int) bool {
-	if p.rarity[chunk] == 0 || !p.leftOut.After(now) {
-		return p.rarity[chunk] > 0
+// hasHolder reports whether a peer that is not excluded has a chunk.
+func (p *Plan) hasHolder(now time.Time, chunk int) bool {
+	if p.holders[chunk] == 0 || !p.excludedUntil.After(now) {
+		return p.holders[chunk] > 0
 	}
 	for _, s := range p.sorted {
-		if s.has.Has(chunk) && !s.notBefore.After(now) {
+		if s.has.Has(chunk) && !s.excludedUntil.After(now) {
 			return true
 		}
 	}
 	return false
 }
 
-func earlier(t *time.Time, by time.Time) {
+func setEarlier(t *time.Time, by time.Time) {
 	if by.Before(*t) {
 		*t = by
 	}
 }
 
-// best chooses the rarest chunk that a peer with room has, and of those peers
-// the one with the least to do.
-func (p *Plan) best(now time.Time, wake *time.Time) (Action, bool) {
+// bestFetch returns the rarest missing chunk that an available peer has, and the least loaded
+// of those peers.
+func (p *Plan) bestFetch(now time.Time, wake *time.Time) (Action, bool) {
 	chunk, peer := -1, ""
 	for i := range p.Chunks {
-		if p.have.Has(i) || p.rarity[i] == 0 || !p.mayFetch(now, i) {
+		if p.have.Has(i) || p.holders[i] == 0 || !p.mayFetch(now, i) {
 			continue
 		}
 		if chunk >= 0 && !p.rarer(i, chunk) {
@@ -85,18 +85,18 @@
 	return Action{Chunk: chunk, From: peer}, chunk >= 0
 }
 
-// rarer orders chunks: those not being fetched first, then the rarest.
+// rarer orders chunks: those with fewer open fetches first, then the rarest.
 func (p *Plan) rarer(a, b int) bool {
 	if fa, fb := len(p.fetching[a]), len(p.fetching[b]); fa != fb {
 		return fa < fb
 	}
-	if p.rarity[a] != p.rarity[b] {
-		return p.rarity[a] < p.rarity[b]
+	if p.holders[a] != p.holders[b] {
+		return p.holders[a] < p.holders[b]
 	}
 	return p.tieBreak[a] < p.tieBreak[b]
 }
 
-// mayFetch allows a second fetch of a chunk only when the first is slow.
+// mayFetch allows a second fetch of a chunk only if the first one is slow.
 func (p *Plan) mayFetch(now time.Time, chunk int) bool {
 	fs := p.fetching[chunk]
 	switch len(fs) {
@@ -110,13 +110,13 @@
 
 func (p *Plan) choosePeer(now time.Time, chunk int, wake *time.Time) (string, bool) {
 	best, load, ties := "", 0, 0
-	far := p.mayCross(now, chunk, wake)
+	crossHall := p.mayCrossHall(now, chunk, wake)
 	for _, s := range p.sorted {
-		if !s.has.Has(chunk) || s.open >= perPeer || !far && !s.near {
+		if !s.has.Has(chunk) || s.openFetches >= fetchesPerPeer || !crossHall && !s.inHall {
 			continue
 		}
-		if until := times.Later(s.notBefore, s.busy); until.After(now) {
-			earlier(wake, until)
+		if until := times.Later(s.excludedUntil, s.busyUntil); until.After(now) {
+			setEarlier(wake, until)
 			continue
 		}
 		switch {
@@ -132,32 +132,32 @@
 	return best, best != ""
 }
 
-// mayCross reports whether a chunk may be fetched from another hall: nobody here
-// has it, and it is this box's turn to bring it.
-func (p *Plan) mayCross(now time.Time, chunk int, wake *time.Time) bool {
-	if p.near == nil {
+// mayCrossHall reports whether a chunk may be fetched from another hall: no available peer in
+// this hall has it, and the turn of this box to fetch it for the hall has come.
+func (p *Plan) mayCrossHall(now time.Time, chunk int, wake *time.Time) bool {
+	if p.inHall == nil {
 		return true
 	}
 	for _, s := range p.sorted {
-		if s.near && s.has.Has(chunk) && !s.notBefore.After(now) {
+		if s.inHall && s.has.Has(chunk) && !s.excludedUntil.After(now) {
 			return false
 		}
 	}
-	if p.offeredAt[chunk].IsZero() {
-		p.offeredAt[chunk] = now
+	if p.crossHallSince[chunk].IsZero() {
+		p.crossHallSince[chunk] = now
 	}
-	turn := p.offeredAt[chunk].Add(time.Duration(p.across[chunk]) * acrossGrace)
+	turn := p.crossHallSince[chunk].Add(time.Duration(p.hallPosition[chunk]) * crossHallTurn)
 	if turn.After(now) {
-		earlier(wake, turn)
+		setEarlier(wake, turn)
 		return false
 	}
 	return true
 }
 
-// spareFetch spends what the origin may send beyond one copy, once the first
-// copy has left it and no peer has room.
+// spareFetch returns a fetch from the origin within this box's part of the spare copies, once
+// the first copy has left the origin and no peer is available.
 func (p *Plan) spareFetch(now time.Time) (Action, bool) {
-	if p.HoldOrigin || p.YieldOrigin || p.spare == 0 || p.atOrigin > 0 || p.origin.away || p.origin.leaveTil.After(now) || now.Before(p.StartAt.Add(p.OriginCopyTime)) {
+	if p.HoldOrigin || p.YieldOrigin || p.spareChunks == 0 || p.openAtOrigin > 0 || p.origin.down || p.origin.backoffUntil.After(now) || now.Before(p.StartAt.Add(p.OriginCopyTime)) {
 		return Action{}, false
 	}
 	chunk := -1
@@ -169,6 +169,6 @@
 	if chunk < 0 {
 		return Action{}, false
 	}
-	p.spare--
+	p.spareChunks--
 	return Action{Chunk: chunk, From: Origin}, true
 }
--- a/weights/claim.go
+++ b/weights/claim.go
@@ -8,155 +8,157 @@
 	"github.com/poststand/poststand/rendezvous"
 )
 
-// A claim says that a box fetches a chunk from the origin. Boxes pass claims on to all
-// their neighbours, and so what has left the origin: each box knows within a few flushes
-// which chunks are still to be fetched, and by whom they are. A chunk has an order of
-// boxes; the first one claims it once it is due, and the next one follows a stagger
-// later if it has heard of no claim. A claim ends by itself unless it is renewed, so one
-// of a box that has gone, or cannot be heard, holds nothing up for long.
-
-// Claim is the message of a claim.
+// A claim announces that a box fetches a chunk from the origin. Boxes forward claims to all
+// their neighbours, together with the chunks that have left the origin, so that within a few
+// flushes each box has the set of chunks that remain to be fetched and their claimants. Each
+// chunk has a ranking of boxes: the first box claims the chunk once it is due, and each
+// further box may claim it one stagger later if it has received no claim. A claim expires
+// unless it is renewed, so that a claim of a box that has failed or is cut off does not block
+// the chunk for long.
+
+// Claim is the wire form of a claim.
 type Claim struct {
 	Chunk int
-	Owner string        // The box that fetches it.
-	Seq   uint64        // Rises with each claim that the box tells of, so that each is passed on once.
-	TTL   time.Duration // Of the claim that is left. Zero gives the chunk up.
-	// Answered says that the origin has taken the request, Failed that it could not be
+	Owner string        // Name of the box that fetches the chunk.
+	Seq   uint64        // Increases with every claim that the owner announces, so that each claim is forwarded once.
+	TTL   time.Duration // Remaining validity of the claim; zero releases the chunk.
+	// Answered is set if the origin has accepted the request, Failed if it could not be
 	// reached or did not answer.
 	Answered, Failed bool
 }
 
-// claim is a claim as this box knows it.
+// claim is the local state of a claim.
 type claim struct {
-	by    string
-	told  time.Time // When this box told of its own.
-	until time.Time // Not live after it; zero for one that was given up.
+	owner       string
+	announcedAt time.Time // When this box last announced its own claim.
+	expiresAt   time.Time // The claim is valid until then; zero if it was released.
 }
 
-// Gossip is what a box has learnt and passes on.
+// Gossip is information that boxes forward to their neighbours.
 type Gossip struct {
-	Seeded []int // Chunks that have left the origin: some box has them.
+	Seeded []int // Chunks that have left the origin: at least one box has them.
 	Claims []Claim
 }
 
-// Empty reports whether there is nothing to pass on.
+// Empty reports whether there is nothing to forward.
 func (n *Gossip) Empty() bool { return len(n.Seeded) == 0 && len(n.Claims) == 0 }
 
-// add joins what has been learnt since.
-func (n *Gossip) add(o Gossip) {
+// merge appends o.
+func (n *Gossip) merge(o Gossip) {
 	n.Seeded = append(n.Seeded, o.Seeded...)
 	n.Claims = append(n.Claims, o.Claims...)
 }
 
 // Tuning of claims.
 const (
-	defaultStagger  = 450 * time.Millisecond // Between the turns of two boxes in a chunk's order; four flushes of an Exchange and a little.
-	claimStaggers   = 4                      // A claim holds for so many staggers,
-	renewParts      = 3                      // is renewed after one of so many parts of that,
-	claimMost       = 5                      // and at most for so many times as long.
-	silentFor       = 3 * time.Second        // A box that let its turn pass is not waited for again.
-	originLag       = 300 * time.Millisecond // From a chunk's becoming due until the next one's, seen at the last box.
-	originBeside    = 2                      // Chunks beyond those of originLag that may leave the origin at once.
-	probesInStagger = 4                      // Tries at an origin that is away, of all boxes together.
-	probeMost       = 8                      // A box's own tries are at most so many of their mean apart.
-	probeAnswered   = 100 * time.Millisecond // A try that has not failed by then is being answered.
-	leftLeast       = 600 * time.Millisecond // A chunk that has left the origin is looked for at other boxes for so long,
-	leftChunks      = 14                     // or for the time of so many chunks on an idle link.
-	servesFor       = time.Second            // A box that fails so soon, and within the time of
-	servesChunks    = 3                      // so many chunks, after the origin served some box, shows nothing of the others.
-	aloneIn         = 300 * time.Millisecond // Where the origin serves another box so soon, and within the time of
-	aloneChunks     = 2                      // so many chunks, after it failed this one,
-	troubleFirst    = 250 * time.Millisecond // this one leaves it to others for a while, which doubles.
-	troubleMost     = 4 * time.Second
-	quietAfter      = 2 // A box that has heard nothing for so many staggers,
-	quietChunks     = 3 // and for the time in which so many chunks leave the origin,
-	quietStaggers   = 3 // gives others so many times their turns.
-	spoiltAllowed   = 2 // Spoilt answers to one chunk, after which it is left to others.
+	defaultStagger     = 450 * time.Millisecond // Between the turns of consecutive boxes in a chunk's ranking: four flushes of an Exchange and a margin.
+	claimStaggers      = 4                      // Validity of a claim, in staggers.
+	renewalsPerClaim   = 3                      // A claim is renewed this many times within its validity,
+	maxClaimTerms      = 5                      // for at most this many times its validity.
+	skipFor            = 3 * time.Second        // A box that missed its turn is skipped in rankings for this long.
+	originLag          = 300 * time.Millisecond // From when a chunk becomes due until the chunk after it is seen as due by all boxes.
+	extraOriginChunks  = 2                      // Chunks that may leave the origin at once, beyond those of originLag.
+	probesPerStagger   = 4                      // Probes of an origin that is down, in one stagger, of all boxes together.
+	maxProbeFactor     = 8                      // Maximum time between two probes of a box, as a multiple of the mean.
+	probeAnsweredAfter = 100 * time.Millisecond // A probe that has not failed by then counts as being answered.
+	minSeededWait      = 600 * time.Millisecond // Minimum time for which a chunk that has left the origin is requested from other boxes only,
+	seededWaitChunks   = 14                     // and the same in transfer times of a chunk on an idle link; the longer one counts.
+	recentServe        = time.Second            // A failure of another box within this time of a successful fetch from the origin,
+	recentServeChunks  = 3                      // plus the time of this many chunks, does not show that the origin is down.
+	loneFailureWindow  = 300 * time.Millisecond // If the origin serves another box within this time of a failure of this box,
+	loneFailureChunks  = 2                      // plus the time of this many chunks, the failure concerns this box alone.
+	minOriginBackoff   = 250 * time.Millisecond // It then backs off from the origin, at first for this time, which doubles up to the maximum.
+	maxOriginBackoff   = 4 * time.Second
+	quietAfterStaggers = 2 // A box that has received nothing for this many staggers,
+	quietAfterChunks   = 3 // plus the time in which this many chunks leave the origin,
+	quietStaggerFactor = 3 // waits longer by this factor for the boxes ranked before it.
+	maxCorruptAnswers  = 2 // Corrupt answers for one chunk after which the chunk is left to other boxes.
 )
 
-// TakeGossip returns what is to be passed on since the last call.
+// TakeGossip returns the gossip to forward since the last call.
 func (p *Plan) TakeGossip() Gossip {
-	n := p.news
-	p.news = Gossip{}
+	n := p.gossip
+	p.gossip = Gossip{}
 	return n
 }
 
-// TakeTakeovers returns how many chunks this box claimed, since the last call, after
-// others had let their turns pass.
+// TakeTakeovers returns how many chunks this box has claimed since the last call after the
+// boxes ranked before it had missed their turns.
 func (p *Plan) TakeTakeovers() int {
 	n := p.takeovers
 	p.takeovers = 0
 	return n
 }
 
-// GossipSnapshot returns all that a new neighbour needs to be told.
+// GossipSnapshot returns the current state for a new neighbour.
 func (p *Plan) GossipSnapshot(now time.Time) Gossip {
 	var n Gossip
 	for i, c := range p.claims {
 		switch {
-		case p.have.Has(i): // The neighbour is told of it as of what this box has.
-		case p.hasLeft(now, i):
+		case p.have.Has(i): // The neighbour receives it as a chunk that this box has.
+		case p.isSeeded(now, i):
 			n.Seeded = append(n.Seeded, i)
-		case c.until.After(now):
-			n.Claims = append(n.Claims, Claim{Chunk: i, Owner: c.by, Seq: p.seqs[c.by], TTL: c.until.Sub(now)})
+		case c.expiresAt.After(now):
+			n.Claims = append(n.Claims, Claim{Chunk: i, Owner: c.owner, Seq: p.lastSeq[c.owner], TTL: c.expiresAt.Sub(now)})
 		}
 	}
 	return n
 }
 
-// ApplyGossip takes what a neighbour passed on. What is new to this box is passed on in turn.
+// ApplyGossip applies the gossip of a neighbour. What is new to this box is forwarded.
 func (p *Plan) ApplyGossip(now time.Time, n Gossip) {
 	p.heardAt = now
 	for _, i := range n.Seeded {
 		if i >= 0 && i < p.Chunks {
-			p.left(now, i)
+			p.markSeeded(now, i)
 		}
 	}
 	for _, c := range n.Claims {
-		if c.Chunk >= 0 && c.Chunk < p.Chunks && c.Owner != p.Self && c.Seq > p.seqs[c.Owner] {
-			p.seqs[c.Owner] = c.Seq
-			p.news.Claims = append(p.news.Claims, c)
-			p.learnClaim(now, c)
+		if c.Chunk >= 0 && c.Chunk < p.Chunks && c.Owner != p.Self && c.Seq > p.lastSeq[c.Owner] {
+			p.lastSeq[c.Owner] = c.Seq
+			p.gossip.Claims = append(p.gossip.Claims, c)
+			p.applyClaim(now, c)
 		}
 	}
 }
 
-func (p *Plan) learnClaim(now time.Time, c Claim) {
-	delete(p.silent, c.Owner)
+func (p *Plan) applyClaim(now time.Time, c Claim) {
+	delete(p.skipUntil, c.Owner)
 	switch {
-	case c.Failed && now.Sub(p.origin.movedAt) >= servesFor+servesChunks*p.perChunkAtOrigin():
-		p.lost(now) // Else it served some box just now, and the other one may be cut off.
+	case c.Failed && now.Sub(p.origin.servedAt) >= recentServe+recentServeChunks*p.perChunkAtOrigin():
+		p.originDown(now) // Otherwise the origin served a box recently, and the box that reports the failure may be cut off.
 	case c.Answered:
-		p.back(now)
+		p.originUp(now)
 	}
 	old := &p.claims[c.Chunk]
-	live := old.until.After(now)
-	if live && old.by == p.Self && c.TTL > 0 && p.yieldsTo(c) {
-		*old = claim{by: c.Owner, until: now.Add(min(c.TTL, p.claimFor()))}
+	live := old.expiresAt.After(now)
+	if live && old.owner == p.Self && c.TTL > 0 && p.yieldsTo(c) {
+		*old = claim{owner: c.Owner, expiresAt: now.Add(min(c.TTL, p.claimTerm()))}
 		p.yielded = append(p.yielded, c.Chunk)
 		return
 	}
-	if live && old.by != c.Owner || p.have.Has(c.Chunk) || p.leftUntil[c.Chunk].After(now) {
-		return // The one that was heard first holds.
+	if live && old.owner != c.Owner || p.have.Has(c.Chunk) || p.seededUntil[c.Chunk].After(now) {
+		return // The first claim received has precedence.
 	}
 	if c.TTL <= 0 {
 		*old = claim{}
 		return
 	}
 	if !live {
-		p.passOver(now, c.Chunk, c.Owner)
+		p.skipSilent(now, c.Chunk, c.Owner)
 	}
-	*old = claim{by: c.Owner, until: now.Add(min(c.TTL, p.claimFor()))}
+	*old = claim{owner: c.Owner, expiresAt: now.Add(min(c.TTL, p.claimTerm()))}
 }
 
-// yieldsTo reports whether this box leaves a chunk to another that claimed it at the same
-// moment, as boxes that know of different members may. All boxes see their order alike.
+// yieldsTo reports whether this box leaves a chunk to another box that claimed it at the same
+// time, which happens if the boxes have different member lists. The result depends on the two
+// names only, so that both boxes decide alike.
 func (p *Plan) yieldsTo(c Claim) bool {
 	key := p.Strategy.OrderKey(c.Chunk)
 	return rendezvous.Score(key, c.Owner) > rendezvous.Score(key, p.Self)
 }
 
-// TakeYielded returns the chunks whose fetches from the origin are to be cancelled, since
+// TakeYielded returns the chunks whose fetches from the origin must be cancelled because
 // another box fetches them.
 func (p *Plan) TakeYielded() []int {
 	out := p.yielded
@@ -164,51 +166,52 @@
 	return out
 }
 
-func (p *Plan) claimFor() time.Duration { return claimStaggers * p.stagger() }
+func (p *Plan) claimTerm() time.Duration { return claimStaggers * p.stagger() }
 
-// claim tells all that this box fetches a chunk.
-func (p *Plan) claim(now time.Time, chunk int, answered bool) {
-	p.claims[chunk] = claim{by: p.Self, told: now, until: now.Add(p.claimFor())}
-	p.tell(Claim{Chunk: chunk, TTL: p.claimFor(), Answered: answered})
+// announceClaim announces that this box fetches a chunk.
+func (p *Plan) announceClaim(now time.Time, chunk int, answered bool) {
+	p.claims[chunk] = claim{owner: p.Self, announcedAt: now, expiresAt: now.Add(p.claimTerm())}
+	p.queueClaim(Claim{Chunk: chunk, TTL: p.claimTerm(), Answered: answered})
 }
 
-func (p *Plan) tell(c Claim) {
+func (p *Plan) queueClaim(c Claim) {
 	p.Seq++
 	c.Owner, c.Seq = p.Self, p.Seq
-	p.news.Claims = append(p.news.Claims, c)
+	p.gossip.Claims = append(p.gossip.Claims, c)
 }
 
-// renew tells again of this box's claims while it fetches, and of tries at an origin that
-// was away once they are answered.
-func (p *Plan) renew(now time.Time, wake *time.Time) {
-	if p.atOrigin == 0 {
+// renewClaims announces this box's claims again while the fetches run, and announces probes of
+// a recovered origin once they are being answered.
+func (p *Plan) renewClaims(now time.Time, wake *time.Time) {
+	if p.openAtOrigin == 0 {
 		return
 	}
-	every := p.claimFor() / renewParts
+	interval := p.claimTerm() / renewalsPerClaim
 	for _, i := range slices.Sorted(maps.Keys(p.fetching)) {
 		fs := p.fetching[i]
 		at := slices.IndexFunc(fs, func(f fetch) bool { return f.from == Origin })
-		if at < 0 || now.Sub(fs[at].since) > claimMost*p.claimFor() {
+		if at < 0 || now.Sub(fs[at].since) > maxClaimTerms*p.claimTerm() {
 			continue
 		}
-		again := fs[at].since.Add(probeAnswered)
-		if c := p.claims[i]; c.by == p.Self {
-			again = c.told.Add(every)
+		renewAt := fs[at].since.Add(probeAnsweredAfter)
+		if c := p.claims[i]; c.owner == p.Self {
+			renewAt = c.announcedAt.Add(interval)
 		}
-		if again.After(now) {
-			earlier(wake, again)
+		if renewAt.After(now) {
+			setEarlier(wake, renewAt)
 			continue
 		}
-		p.back(now)
-		p.claim(now, i, true)
-		earlier(wake, now.Add(every))
+		p.originUp(now)
+		p.announceClaim(now, i, true)
+		setEarlier(wake, now.Add(interval))
 	}
 }
 
-// release gives a chunk up, and says whether that is for the origin's failure.
+// release releases this box's claim of a chunk; failed reports that the fetch failed because
+// of the origin.
 func (p *Plan) release(chunk int, failed bool) {
-	if p.claims[chunk].by == p.Self {
+	if p.claims[chunk].owner == p.Self {
 		p.claims[chunk] = claim{}
-		p.tell(Claim{Chunk: chunk, Failed: failed})
+		p.queueClaim(Claim{Chunk: chunk, Failed: failed})
 	}
 }
--- a/weights/due.go
+++ b/weights/due.go
@@ -8,135 +8,136 @@
 	"github.com/poststand/poststand/rendezvous"
 )
 
-// left records that a chunk has left the origin.
-func (p *Plan) left(now time.Time, chunk int) {
-	if p.have.Has(chunk) || p.leftUntil[chunk].After(now) {
+// markSeeded records that a chunk has left the origin.
+func (p *Plan) markSeeded(now time.Time, chunk int) {
+	if p.have.Has(chunk) || p.seededUntil[chunk].After(now) {
 		return
 	}
-	if p.leftUntil[chunk].IsZero() {
-		p.moved(now)
+	if p.seededUntil[chunk].IsZero() {
+		p.originServed(now)
 	}
-	p.leftUntil[chunk] = now.Add(max(leftLeast, leftChunks*p.ChunkTime))
-	p.claims[chunk].until, p.dueAt[chunk] = time.Time{}, time.Time{}
-	p.news.Seeded = append(p.news.Seeded, chunk)
+	p.seededUntil[chunk] = now.Add(max(minSeededWait, seededWaitChunks*p.ChunkTime))
+	p.claims[chunk].expiresAt, p.dueSince[chunk] = time.Time{}, time.Time{}
+	p.gossip.Seeded = append(p.gossip.Seeded, chunk)
 }
 
-// hasLeft reports whether a chunk is at some box: a neighbour offers it, or it was heard
-// to have left the origin not so long ago that it should be here.
-func (p *Plan) hasLeft(now time.Time, chunk int) bool {
-	return p.leftUntil[chunk].After(now) || p.offered(now, chunk)
+// isSeeded reports whether some box has a chunk: a neighbour has it, or gossip reported it
+// recently enough that it should still arrive from a peer.
+func (p *Plan) isSeeded(now time.Time, chunk int) bool {
+	return p.seededUntil[chunk].After(now) || p.hasHolder(now, chunk)
 }
 
 func (p *Plan) stagger() time.Duration { return orDefault(p.Stagger, defaultStagger) }
 
-// perChunkAtOrigin is the time that one chunk takes on the origin's idle link.
+// perChunkAtOrigin returns the transfer time of a chunk on the origin's idle link.
 func (p *Plan) perChunkAtOrigin() time.Duration {
 	return p.OriginCopyTime / time.Duration(max(1, p.Chunks))
 }
 
-// atOnce is how many chunks may be leaving the origin at a time: enough for its link to
-// be busy until all boxes know of one that has left, and no more, so that what is asked
-// of it next does not wait long.
-func (p *Plan) atOnce() int {
-	n := originBeside
+// maxDue returns how many chunks may leave the origin at the same time: enough to keep its
+// link busy until all boxes have learnt that one of them has left, and no more, so that later
+// requests are not queued for long.
+func (p *Plan) maxDue() int {
+	n := extraOriginChunks
 	if p.perChunkAtOrigin() > 0 {
 		n += int(originLag / p.perChunkAtOrigin())
 	}
 	return n
 }
 
-// due returns the chunks that are to be claimed by somebody: the first ones that have
-// not left the origin, as many as it may send at once.
+// due returns the chunks to be claimed by some box: the first maxDue chunks that have not left
+// the origin.
 func (p *Plan) due(now time.Time, wake *time.Time) []int {
 	var out []int
-	places := p.atOnce()
-	passed := places // Chunks that hold up no other.
-	before := p.dueTo
-	p.dueTo = p.Chunks
+	slots := p.maxDue()
+	overdueLimit := slots // Overdue chunks that may be added to the due ones without blocking others.
+	prevEnd := p.dueEnd
+	p.dueEnd = p.Chunks
 	for i := range p.Chunks {
-		if places == 0 {
-			p.dueTo = i
+		if slots == 0 {
+			p.dueEnd = i
 			break
 		}
-		if p.have.Has(i) || p.hasLeft(now, i) {
-			p.dueAt[i] = time.Time{}
-			if !p.have.Has(i) && p.leftUntil[i].After(now) {
-				earlier(wake, p.leftUntil[i])
+		if p.have.Has(i) || p.isSeeded(now, i) {
+			p.dueSince[i] = time.Time{}
+			if !p.have.Has(i) && p.seededUntil[i].After(now) {
+				setEarlier(wake, p.seededUntil[i])
 			}
 			continue
 		}
-		places--
-		if c := p.claims[i]; len(p.fetching[i]) > 0 || c.until.After(now) && c.by != p.Self {
-			p.dueAt[i] = time.Time{}
-			if c.until.After(now) {
-				earlier(wake, c.until)
+		slots--
+		if c := p.claims[i]; len(p.fetching[i]) > 0 || c.expiresAt.After(now) && c.owner != p.Self {
+			p.dueSince[i] = time.Time{}
+			if c.expiresAt.After(now) {
+				setEarlier(wake, c.expiresAt)
 			}
 			continue
 		}
 		out = append(out, i)
-		if p.origin.away {
-			places++ // Nobody has a turn, and tries are for different chunks.
+		if p.origin.down {
+			slots++ // There are no turns while the origin is down, and boxes probe with different chunks.
 			continue
 		}
-		// A turn that passed while the chunk was not due, as others were, begins anew.
-		if p.dueAt[i].IsZero() || i >= before && !p.turn[i].After(now) {
-			p.dueAt[i] = times.Later(now, p.origin.backAt)
-			p.turn[i] = p.dueAt[i].Add(p.wait(now, i))
+		// A turn that passed while the chunk was not due, because other chunks were, restarts.
+		if p.dueSince[i].IsZero() || i >= prevEnd && !p.turnAt[i].After(now) {
+			p.dueSince[i] = times.Later(now, p.origin.turnsFrom)
+			p.turnAt[i] = p.dueSince[i].Add(p.turnDelay(now, i))
 		}
-		if overdue := p.dueAt[i].Add(p.stagger()); overdue.After(now) {
-			earlier(wake, overdue)
-		} else if passed > 0 {
-			passed--
-			places++ // Boxes that do not answer have their turns.
+		if overdue := p.dueSince[i].Add(p.stagger()); overdue.After(now) {
+			setEarlier(wake, overdue)
+		} else if overdueLimit > 0 {
+			overdueLimit--
+			slots++ // Boxes ranked first for it do not answer.
 		}
 	}
 	return out
 }
 
-// wait is how long this box leaves a chunk that has become due to those before it in the
-// chunk's order: a stagger for each that has not let a turn pass of late. One that hears
-// nothing cannot know what they do, and waits longer: it may be the one that is cut off.
-func (p *Plan) wait(now time.Time, chunk int) time.Duration {
+// turnDelay returns how long after a chunk becomes due this box waits for the boxes ranked
+// before it: one stagger for each box that has not missed a turn recently. A box that receives
+// nothing cannot observe the others and waits longer, because it may be the one that is cut
+// off.
+func (p *Plan) turnDelay(now time.Time, chunk int) time.Duration {
 	each, n := p.stagger(), 0
 	switch {
-	case p.alone():
+	case p.isolated():
 		each = p.grace()
 	case p.quiet(now):
-		each *= quietStaggers
+		each *= quietStaggerFactor
 	}
 	for _, name := range p.ranked(chunk) {
 		if name == p.Self {
 			break
 		}
-		if p.alone() || !p.silent[name].After(now) {
+		if p.isolated() || !p.skipUntil[name].After(now) {
 			n++
 		}
 	}
-	if p.AdaptiveParallel && p.ParallelFraction() <= slowEase {
-		n += len(p.names) // Its link is slow: others first.
+	if p.AdaptiveParallel && p.ParallelFraction() <= slowFraction {
+		n += len(p.members) // The link of this box is slow: other boxes go first.
 	}
 	return time.Duration(n) * each
 }
 
-// alone reports whether this box has lost all of its neighbours.
-func (p *Plan) alone() bool { return p.met && p.connected == 0 }
+// isolated reports whether this box has lost all its neighbours.
+func (p *Plan) isolated() bool { return p.hadNeighbour && p.connected == 0 }
 
-// quiet reports whether this box has heard nothing for longer than the origin's serving
-// others, or they one another, leaves unsaid.
+// quiet reports whether this box has received nothing for longer than the intervals that are
+// normal while the origin serves other boxes or they serve one another.
 func (p *Plan) quiet(now time.Time) bool {
-	return !p.heardAt.IsZero() && now.Sub(p.heardAt) > quietAfter*p.stagger()+quietChunks*p.perChunkAtOrigin()
+	return !p.heardAt.IsZero() && now.Sub(p.heardAt) > quietAfterStaggers*p.stagger()+quietAfterChunks*p.perChunkAtOrigin()
 }
 
-// slowEase is the part of its usual fetches at which a box no longer counts on getting a
-// chunk in time: its link is slow.
-const slowEase = 0.5
+// slowFraction is the ParallelFraction at or below which the link counts as too slow to fetch
+// a chunk in time.
+const slowFraction = 0.5
 
-// ranked returns the boxes in the order of a chunk.
+// ranked returns the boxes in the order in which they may claim a chunk.
 func (p *Plan) ranked(chunk int) []string {
 	if r := p.ranks[chunk]; r != nil {
 		return r
 	}
-	r := rendezvous.Rank(p.Strategy.OrderKey(chunk), p.names)
+	r := rendezvous.Rank(p.Strategy.OrderKey(chunk), p.members)
 	if at := slices.Index(r, p.order.first[chunk]); at > 0 {
 		r = slices.Insert(slices.Delete(r, at, at+1), 0, p.order.first[chunk])
 	}
@@ -144,71 +145,71 @@
 	return r
 }
 
-// passOver records that the boxes before one that claims a chunk have let their turns
-// pass: they are not waited for again for a while.
-func (p *Plan) passOver(now time.Time, chunk int, by string) {
-	if p.dueAt[chunk].IsZero() {
+// skipSilent records that the boxes ranked before the claimant of a chunk have missed their
+// turns: rankings skip them for skipFor.
+func (p *Plan) skipSilent(now time.Time, chunk int, claimant string) {
+	if p.dueSince[chunk].IsZero() {
 		return
 	}
-	passed := int(now.Sub(p.dueAt[chunk]) / p.stagger())
+	passed := int(now.Sub(p.dueSince[chunk]) / p.stagger())
 	for _, name := range p.ranked(chunk) {
-		if name == by || passed <= 0 {
+		if name == claimant || passed <= 0 {
 			return
 		}
-		if !p.silent[name].After(now) {
+		if !p.skipUntil[name].After(now) {
 			passed--
 		}
 		if name != p.Self && !p.busyAtOrigin(now, name) {
-			p.silent[name] = now.Add(silentFor)
+			p.skipUntil[name] = now.Add(skipFor)
 		}
 	}
 }
 
-// busyAtOrigin reports whether a box is known to fetch some chunk from the origin.
+// busyAtOrigin reports whether a box has a valid claim of some chunk.
 func (p *Plan) busyAtOrigin(now time.Time, name string) bool {
-	return slices.ContainsFunc(p.claims, func(c claim) bool { return c.by == name && c.until.After(now) })
+	return slices.ContainsFunc(p.claims, func(c claim) bool { return c.owner == name && c.expiresAt.After(now) })
 }
 
-// mayClaim reports whether this box is to fetch a chunk that is due.
+// mayClaim reports whether this box may fetch a chunk that is due from the origin.
 func (p *Plan) mayClaim(now time.Time, chunk int, wake *time.Time) bool {
-	if p.origin.leaveTil.After(now) {
-		earlier(wake, p.origin.leaveTil)
+	if p.origin.backoffUntil.After(now) {
+		setEarlier(wake, p.origin.backoffUntil)
 		return false
 	}
-	if p.origin.away {
-		// Whoever's time has come tries, with whatever is due.
-		if p.origin.tryAt.After(now) {
-			earlier(wake, p.origin.tryAt)
+	if p.origin.down {
+		// Any box whose probe time has come probes, with any chunk that is due.
+		if p.origin.probeAt.After(now) {
+			setEarlier(wake, p.origin.probeAt)
 			return false
 		}
-		return p.atOrigin == 0
+		return p.openAtOrigin == 0
 	}
-	if p.claims[chunk].until.After(now) {
-		return true // Its own, of which the last answer was spoilt.
+	if p.claims[chunk].expiresAt.After(now) {
+		return true // This box's own claim, whose last answer was corrupt.
 	}
-	turn := p.turn[chunk]
-	if p.alone() || p.quiet(now) {
-		turn = times.Later(turn, p.dueAt[chunk].Add(p.wait(now, chunk)))
+	turn := p.turnAt[chunk]
+	if p.isolated() || p.quiet(now) {
+		turn = times.Later(turn, p.dueSince[chunk].Add(p.turnDelay(now, chunk)))
 	}
 	if turn.After(now) {
-		earlier(wake, turn)
+		setEarlier(wake, turn)
 		return false
 	}
 	return true
 }
 
-// fetchDue begins a fetch from the origin and claims the chunk.
+// fetchDue starts a fetch from the origin and claims the chunk.
 func (p *Plan) fetchDue(now time.Time, chunk int) Action {
-	p.asked++
-	if p.turn[chunk].Sub(p.dueAt[chunk]) > 0 && !p.origin.away {
-		p.passOver(now, chunk, p.Self)
+	p.originRequests++
+	if p.turnAt[chunk].Sub(p.dueSince[chunk]) > 0 && !p.origin.down {
+		p.skipSilent(now, chunk, p.Self)
 		p.takeovers++
 	}
-	p.dueAt[chunk] = time.Time{}
-	if p.origin.away {
-		p.origin.tryAt = now.Add(p.probeWait()) // Nobody is told of a mere try.
+	p.dueSince[chunk] = time.Time{}
+	if p.origin.down {
+		p.origin.probeAt = now.Add(p.probeWait()) // Probes are not announced.
 	} else {
-		p.claim(now, chunk, false)
+		p.announceClaim(now, chunk, false)
 	}
-	return p.begin(now, Action{Chunk: chunk, From: Origin})
+	return p.startFetch(now, Action{Chunk: chunk, From: Origin})
 }
--- a/weights/ease.go
+++ b/weights/ease.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// ObserveTransferTime adapts how many fetches are open to how long the parts of a chunk took
-// from the first to the last, so that a link that is slower than it should be has
-// no long queue in which other traffic waits.
+// ObserveTransferTime adjusts the number of open fetches to the time between the first and the
+// last part of a chunk. On a link that is slower than expected this avoids a long queue, which
+// would delay other traffic.
 func (p *Plan) ObserveTransferTime(took time.Duration) {
-	most := float64(orDefault(p.Parallel, defaultParallel))
-	if p.parallel == 0 {
-		p.parallel = most
+	limit := float64(orDefault(p.Parallel, defaultParallel))
+	if p.currentParallel == 0 {
+		p.currentParallel = limit
 	}
 	if took > p.slowAfter() {
-		p.parallel = max(1, p.parallel/2)
+		p.currentParallel = max(1, p.currentParallel/2)
 		return
 	}
-	p.parallel = min(most, p.parallel+easeBack)
+	p.currentParallel = min(limit, p.currentParallel+parallelStep)
 }
 
-// slowAfter is how long the parts of a chunk take on a link that is slower than it
-// should be.
-func (p *Plan) slowAfter() time.Duration { return slowFetch * p.ChunkTime }
+// slowAfter returns the transfer time of a chunk above which the link counts as slower than
+// expected.
+func (p *Plan) slowAfter() time.Duration { return slowFetchChunks * p.ChunkTime }
 
-// mayAsk is how many fetches from the origin may be open now.
-func (p *Plan) mayAsk() int {
+// originLimit returns how many fetches from the origin may be open.
+func (p *Plan) originLimit() int {
 	if p.SingleFetch {
 		return 1
 	}
 	return orDefault(p.OriginParallel, defaultAtOrigin)
 }
 
-// ParallelFraction is the part of its usual fetches that a box may have open now.
+// ParallelFraction returns the number of fetches that may be open as a fraction of the
+// configured number.
 func (p *Plan) ParallelFraction() float64 {
-	if p.parallel == 0 {
+	if p.currentParallel == 0 {
 		return 1
 	}
-	return p.parallel / float64(orDefault(p.Parallel, defaultParallel))
+	return p.currentParallel / float64(orDefault(p.Parallel, defaultParallel))
 }
 
-// mayOpen is how many fetches may be open now.
-func (p *Plan) mayOpen() int {
+// fetchLimit returns how many fetches may be open.
+func (p *Plan) fetchLimit() int {
 	if p.SingleFetch {
-		return 1 + p.atOrigin
+		return 1 + p.openAtOrigin
 	}
-	if !p.AdaptiveParallel || p.parallel == 0 {
+	if !p.AdaptiveParallel || p.currentParallel == 0 {
 		return orDefault(p.Parallel, defaultParallel)
 	}
-	return int(p.parallel)
+	return int(p.currentParallel)
 }
--- a/weights/exchange.go
+++ b/weights/exchange.go
@@ -19,56 +19,56 @@
 	defaultFlush       = 100 * time.Millisecond
 )
 
-// Exchange does the I/O with weights of one box. Set the exported fields before
-// first use.
+// Exchange does the weight I/O of one box. Set the exported fields before first use.
 type Exchange struct {
 	Self        Member
 	Store       *Store
-	Pool        *wire.Pool // Connections for weights alone, so that requests never wait behind chunks.
+	Pool        *wire.Pool // Connections for weights only, so that requests are never queued behind chunks.
 	Strategy    Strategy
-	UploadSlots int // Chunks sent at once; 2 by default.
-	UploadQueue int // Uploads that wait; more are refused. 2 by default.
-	Parallel    int // Chunks fetched at once; 8 by default.
-	PartBytes   int // Bytes in a message; 256 KiB by default.
-	// PreferHall fetches what the hall has from the hall, so that about one copy
-	// crosses into each.
+	UploadSlots int // Concurrent uploads; 2 by default.
+	UploadQueue int // Waiting uploads, above which requests are refused; 2 by default.
+	Parallel    int // Concurrent fetches; 8 by default.
+	PartBytes   int // Bytes of a chunk in one message; 256 KiB by default.
+	// PreferHall fetches chunks that a box of the hall has within the hall, so that about one
+	// copy crosses into each hall.
 	PreferHall bool
-	// AdaptiveParallel has fewer fetches open while they take long, for the sake of what
-	// else uses the link.
+	// AdaptiveParallel reduces the number of open fetches while transfers are slow, to leave
+	// capacity for other traffic on the link.
 	AdaptiveParallel bool
-	OriginParallel   int           // Fetches open from the origin at once; 2 by default.
-	FlushInterval    time.Duration // Between two Have messages to a neighbour; 100 ms by default.
+	OriginParallel   int           // Concurrent fetches from the origin; 2 by default.
+	FlushInterval    time.Duration // Minimum interval of Have messages to a neighbour; 100 ms by default.
 	// FetchOrigin fetches a chunk or manifest from the origin by its digest.
 	FetchOrigin func(ctx context.Context, digest string) ([]byte, error)
-	// Pace delays each part sent, to leave room for traffic. Nil does not.
+	// Pace delays each part before it is sent, to leave capacity for other traffic. If nil,
+	// parts are not delayed.
 	Pace func(ctx context.Context, bytes int) error
-	// Event counts what happened, with the bytes that moved.
+	// Event, if set, is called for each event, with the number of bytes transferred.
 	Event func(e Event)
 
 	mu        sync.Mutex
 	transfers map[string]*Transfer
 	manifests map[string][]byte
 	uploading int
-	waiting   []chan struct{} // Uploads that wait for a slot, the oldest first.
+	waiting   []chan struct{} // Uploads waiting for a slot, oldest first.
 }
 
-// EventKind names something that an Exchange counts.
+// EventKind is the kind of an Event.
 type EventKind string
 
 // Kinds of events.
 const (
-	EventOrigin     EventKind = "origin"         // A chunk came from the origin.
-	EventPeerInHall EventKind = "peer_in_hall"   // From a peer in this hall.
-	EventPeerAcross EventKind = "peer_across"    // From a peer of another hall.
+	EventOrigin     EventKind = "origin"         // A chunk was fetched from the origin.
+	EventPeerInHall EventKind = "peer_in_hall"   // A chunk was fetched from a peer in this hall.
+	EventPeerAcross EventKind = "peer_across"    // A chunk was fetched from a peer in another hall.
 	EventUpload     EventKind = "upload"         // A chunk was sent to a peer.
 	EventCorrupt    EventKind = "corrupt"        // A chunk did not match its digest.
-	EventStall      EventKind = "stall"          // A fetch got nothing in time.
-	EventRefused    EventKind = "refused"        // A peer or the origin had no room.
-	EventTakeover   EventKind = "claim_takeover" // This box claimed a chunk after others had let their turns pass.
-	EventStoreFull  EventKind = "store_full"     // The memory for weights is too small.
+	EventStall      EventKind = "stall"          // A fetch timed out waiting for data.
+	EventRefused    EventKind = "refused"        // A peer or the origin refused a fetch because of its load.
+	EventTakeover   EventKind = "claim_takeover" // This box claimed a chunk after the boxes ranked before it had missed their turns.
+	EventStoreFull  EventKind = "store_full"     // The chunk store was full.
 )
 
-// Event is one such happening.
+// Event is one occurrence of an EventKind.
 type Event struct {
 	Kind  EventKind
 	Bytes int
@@ -94,8 +94,7 @@
 	wire.On(hs, x.serveChunk)
 }
 
-// Transfer returns the transfer of an artifact that is under way or complete
-// here, or nil.
+// Transfer returns the running or completed transfer of an artifact, or nil.
 func (x *Exchange) Transfer(artifact string) *Transfer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -112,7 +111,7 @@
 	x.transfers[t.Artifact] = t
 }
 
-func (x *Exchange) dropTransfer(t *Transfer) {
+func (x *Exchange) removeTransfer(t *Transfer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.transfers[t.Artifact] == t {
@@ -120,8 +119,8 @@
 	}
 }
 
-// openFetches is how many fetches the link bears, by the transfers under way: the
-// least that any of them has found. Zero is the usual number.
+// openFetches returns the number of fetches that the link sustains: the minimum measured by
+// any running transfer, or zero if none has measured it.
 func (x *Exchange) openFetches() float64 {
 	x.mu.Lock()
 	ts := slices.Collect(maps.Values(x.transfers))
@@ -135,7 +134,7 @@
 	return least
 }
 
-func (x *Exchange) queue() int {
+func (x *Exchange) uploadLoad() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.uploading + len(x.waiting)
@@ -148,19 +147,19 @@
 		return
 	}
 	select {
-	case <-t.begun: // The neighbour waits with us for the manifest.
-		t.session(ctx, s, m)
+	case <-t.ready: // The neighbour waits until the manifest is available on this box.
+		t.acceptSession(ctx, s, m)
 	case <-ctx.Done():
 	}
 }
 
-// manifestWait is how long a box that asks for a manifest is kept waiting for it
-// where it is on its way here too.
+// manifestWait is how long a request for a manifest is held while this box is fetching the
+// same manifest.
 const manifestWait = 500 * time.Millisecond
 
-// await returns once the manifest of a transfer that is under way is here, or after
-// a while.
-func (x *Exchange) await(ctx context.Context, artifact string) {
+// awaitManifest waits, for at most manifestWait, until the manifest of a running transfer is
+// available.
+func (x *Exchange) awaitManifest(ctx context.Context, artifact string) {
 	t := x.Transfer(artifact)
 	if t == nil {
 		return
@@ -168,15 +167,15 @@
 	wait := time.NewTimer(manifestWait)
 	defer wait.Stop()
 	select {
-	case <-t.begun:
+	case <-t.ready:
 	case <-wait.C:
 	case <-ctx.Done():
 	}
 }
 
 func (x *Exchange) serveChunk(ctx context.Context, s *wire.Stream, m *GetChunk) {
-	x.await(ctx, m.Digest)
-	if data, ok := x.manifest(m.Digest); ok { // It is small, and everything else waits for it.
+	x.awaitManifest(ctx, m.Digest)
+	if data, ok := x.manifest(m.Digest); ok { // It is small, and all other fetches depend on it.
 		_ = x.sendParts(ctx, s, data)
 		return
 	}
@@ -185,17 +184,17 @@
 		_ = s.Fail(ctx, fault.New(fault.NotHeld, m.Digest))
 		return
 	}
-	if !x.enterUpload(ctx) {
-		_ = s.Fail(ctx, fault.New(fault.Busy, "upload slots"))
+	if !x.acquireUpload(ctx) {
+		_ = s.Fail(ctx, fault.New(fault.Busy, "no free upload slot"))
 		return
 	}
-	defer x.leaveUpload()
+	defer x.releaseUpload()
 	if x.sendParts(ctx, s, data) == nil {
 		x.event(EventUpload, len(data))
 	}
 }
 
-// Lookup finds a chunk or a manifest.
+// Lookup returns a chunk or a manifest by its digest.
 func (x *Exchange) Lookup(digest string) ([]byte, bool) {
 	if data, ok := x.Store.Get(digest); ok {
 		return data, true
@@ -210,16 +209,17 @@
 	return data, ok
 }
 
-// SetUploadSlots changes how many chunks are sent at once from now on.
+// SetUploadSlots changes the number of concurrent uploads.
 func (x *Exchange) SetUploadSlots(n int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.UploadSlots = n
-	x.nextUploads()
+	x.grantUploads()
 }
 
-// enterUpload waits for an upload slot, unless too many wait already.
-func (x *Exchange) enterUpload(ctx context.Context) bool {
+// acquireUpload waits for an upload slot. It reports false if too many uploads are waiting or
+// ctx ends.
+func (x *Exchange) acquireUpload(ctx context.Context) bool {
 	x.mu.Lock()
 	if len(x.waiting) >= orDefault(x.UploadQueue, defaultUploadQueue) {
 		x.mu.Unlock()
@@ -227,7 +227,7 @@
 	}
 	turn := make(chan struct{})
 	x.waiting = append(x.waiting, turn)
-	x.nextUploads()
+	x.grantUploads()
 	x.mu.Unlock()
 	select {
 	case <-turn:
@@ -240,20 +240,20 @@
 		x.waiting = slices.Delete(x.waiting, i, i+1)
 		return false
 	}
-	x.uploading-- // The turn came meanwhile; it goes to the next.
-	x.nextUploads()
+	x.uploading-- // The slot was granted in the meantime; pass it on.
+	x.grantUploads()
 	return false
 }
 
-func (x *Exchange) leaveUpload() {
+func (x *Exchange) releaseUpload() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.uploading--
-	x.nextUploads()
+	x.grantUploads()
 }
 
-// nextUploads lets those that wait have the free slots. The caller holds x.mu.
-func (x *Exchange) nextUploads() {
+// grantUploads gives free slots to waiting uploads. The caller holds x.mu.
+func (x *Exchange) grantUploads() {
 	for x.uploading < orDefault(x.UploadSlots, defaultUploadSlots) && len(x.waiting) > 0 {
 		close(x.waiting[0])
 		x.waiting = x.waiting[1:]
@@ -281,41 +281,42 @@
 	}
 }
 
-// receiving is how long a chunk may take to come.
-type receiving struct {
-	first time.Duration // Until its first part,
-	next  time.Duration // and from one part to the next.
-	// slow, if set, is called once if the chunk is not whole so long after its first
-	// part as slowAfter says.
-	slow      func()
+// receiveOptions are the timeouts for receiving a chunk.
+type receiveOptions struct {
+	firstTimeout time.Duration // Until the first part.
+	nextTimeout  time.Duration // Between two parts.
+	// onSlow, if set, is called once if the chunk is incomplete slowAfter after its first
+	// part.
+	onSlow    func()
 	slowAfter time.Duration
 }
 
-// receiveParts reads a chunk of at most limit bytes.
-func receiveParts(ctx context.Context, s *wire.Stream, limit int, r receiving) ([]byte, time.Duration, error) {
+// receiveParts receives a chunk of at most limit bytes. It also returns the time from the
+// first part to the last.
+func receiveParts(ctx context.Context, s *wire.Stream, limit int, r receiveOptions) ([]byte, time.Duration, error) {
 	var data []byte
 	var began time.Time
-	for wait := r.first; ; wait = r.next {
+	for wait := r.firstTimeout; ; wait = r.nextTimeout {
 		rctx, cancel := context.WithTimeout(ctx, wait)
 		m, err := s.Recv(rctx)
 		cancel()
 		if err != nil {
 			if fault.Is(err, fault.Timeout) && ctx.Err() == nil {
-				err = fault.New(fault.Stalled, "chunk")
+				err = fault.New(fault.Stalled, "chunk: timed out waiting for the next part")
 			}
 			return nil, 0, err
 		}
 		p, ok := m.(*Part)
 		if !ok {
-			return nil, 0, fault.New(fault.Garbage, "chunk part")
+			return nil, 0, fault.New(fault.Garbage, "chunk: unexpected message instead of a part")
 		}
 		if len(data)+len(p.Data) > limit {
-			return nil, 0, fault.New(fault.TooLarge, "chunk")
+			return nil, 0, fault.New(fault.TooLarge, "chunk: more data than expected")
 		}
 		if data == nil {
 			began = time.Now()
-			if r.slow != nil {
-				defer time.AfterFunc(r.slowAfter, r.slow).Stop()
+			if r.onSlow != nil {
+				defer time.AfterFunc(r.slowAfter, r.onSlow).Stop()
 			}
 		}
 		data = append(data, p.Data...)
@@ -325,8 +326,8 @@
 	}
 }
 
-// getFrom fetches a chunk or manifest from a peer on its connection.
-func getFrom(ctx context.Context, c *wire.Conn, digest string, limit int, r receiving) ([]byte, time.Duration, error) {
+// fetchFromPeer fetches a chunk or manifest from a peer over c.
+func fetchFromPeer(ctx context.Context, c *wire.Conn, digest string, limit int, r receiveOptions) ([]byte, time.Duration, error) {
 	s, err := c.Open(ctx, &GetChunk{Digest: digest})
 	if err != nil {
 		return nil, 0, err
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -28,16 +28,17 @@
 	Files   []File `json:"files"`
 }
 
-// MaxChunk is the largest chunk, in bytes, so that one fits a message.
+// MaxChunk is the largest size of a chunk in bytes. It keeps a chunk within the size limit of
+// a wire message.
 const MaxChunk = 64 << 20
 
-// Digest names data by its SHA-256.
+// Digest returns the SHA-256 digest that identifies data.
 func Digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return digestPrefix + hex.EncodeToString(sum[:])
 }
 
-// Encode returns the bytes whose digest names the manifest.
+// Encode returns the encoded manifest, whose digest names the artifact.
 func (m *Manifest) Encode() ([]byte, error) {
 	b, err := json.Marshal(m)
 	if err != nil {
@@ -46,20 +47,20 @@
 	return b, nil
 }
 
-// names reports whether data is what an artifact's name says. A name that is no
-// digest says nothing of the bytes: whoever names artifacts so must notice by
-// itself that a manifest was spoilt on its way, as its chunks then never match.
-func names(artifact string, data []byte) bool {
+// matchesDigest reports whether data has the digest that artifact names. An artifact name that
+// is not a digest cannot be checked here: a caller that uses such names must itself detect a
+// corrupted manifest, whose chunks then never match their digests.
+func matchesDigest(artifact string, data []byte) bool {
 	return !strings.HasPrefix(artifact, digestPrefix) || Digest(data) == artifact
 }
 
 const digestPrefix = "sha256:"
 
-// ParseManifest decodes data if it is what the artifact's name says and is well
-// formed.
+// ParseManifest decodes a manifest after checking data against the artifact's digest, and
+// validates its chunks.
 func ParseManifest(data []byte, artifact string) (*Manifest, error) {
-	if !names(artifact, data) {
-		return nil, fault.New(fault.Corrupt, "manifest "+artifact)
+	if !matchesDigest(artifact, data) {
+		return nil, fault.New(fault.Corrupt, "digest mismatch of manifest "+artifact)
 	}
 	var m Manifest
 	if err := json.Unmarshal(data, &m); err != nil {
@@ -68,14 +69,14 @@
 	for _, f := range m.Files {
 		for _, c := range f.Chunks {
 			if c.Size < 1 || c.Size > MaxChunk || !strings.HasPrefix(c.Digest, digestPrefix) {
-				return nil, fault.New(fault.Garbage, "manifest: chunk of "+f.Name)
+				return nil, fault.New(fault.Garbage, "manifest: invalid chunk of file "+f.Name)
 			}
 		}
 	}
 	return &m, nil
 }
 
-// Chunks returns every different chunk once, in order of first use.
+// Chunks returns every distinct chunk once, in order of first use.
 func (m *Manifest) Chunks() []Chunk {
 	var out []Chunk
 	seen := map[string]bool{}
@@ -90,8 +91,8 @@
 	return out
 }
 
-// Split describes data as a file of chunks of the given size, for tools that
-// publish artifacts.
+// Split divides data into chunks of the given size and returns the File that describes them.
+// Tools that publish artifacts use it.
 func Split(name string, data []byte, size int) File {
 	f := File{Name: name}
 	for len(data) > 0 {
--- a/weights/measure_test.go
+++ b/weights/measure_test.go
@@ -20,8 +20,8 @@
 	measureOnly   = flag.String("measure.only", "", "only cases whose line contains this")
 )
 
-// TestMeasure prints the figures that docs/design/weights.md quotes. It asserts
-// nothing; scripts/measure runs it.
+// TestMeasure prints the figures quoted in docs/design/weights.md. It asserts nothing;
+// scripts/measure runs it.
 func TestMeasure(t *testing.T) {
 	if !*measure {
 		return
@@ -37,7 +37,7 @@
 					for _, faults := range []bool{false, true} {
 						printBurst(t, burst{
 							boxes: n, chunks: *measureChunks, policy: policy, strategy: strategy, shared: shared,
-							window: 240 * time.Second, faults: faults, seed: 1, pinned: true,
+							window: 240 * time.Second, faults: faults, seed: 1, haveManifest: true,
 						})
 					}
 				}
@@ -53,7 +53,7 @@
 	}
 	name := fmt.Sprintf("boxes=%d policy=%s strategy=%s links=%s faults=%t", b.boxes, b.policy, b.strategy.Name, links, b.faults)
 	if !strings.Contains(name, *measureOnly) || b.strategy.Name != "swarm" && b.policy == "time" {
-		return // The policies differ for the swarm alone.
+		return // Only the swarm depends on the policy.
 	}
 	began := time.Now()
 	limit := 3 * b.window
--- a/weights/message.go
+++ b/weights/message.go
@@ -4,32 +4,33 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Join opens a session about an artifact: what the sender has of it. Both ends
-// then send Have as they get more.
+// Join opens a session about an artifact and lists the chunks that the sender has. Both ends
+// then send a Have message whenever they obtain more.
 type Join struct {
 	Artifact string // Digest of the manifest.
 	Has      Bitmap
 	Queue    int
 }
 
-// Have tells what the sender got since its last message, and what it learnt.
+// Have lists the chunks that the sender obtained since its last message, and the gossip that
+// it received.
 type Have struct {
 	Chunks []int
-	Queue  int // Uploads that wait at the sender.
+	Queue  int // Uploads in progress or waiting at the sender.
 	Gossip Gossip
 }
 
-// GetChunk asks for a chunk by its digest.
+// GetChunk requests a chunk or a manifest by its digest.
 type GetChunk struct {
 	Digest string
 }
 
-// Part is a piece of a chunk or manifest; the last ends its stream.
+// Part is a fragment of a chunk or manifest. The last one ends its stream.
 type Part struct {
 	Data []byte
 }
 
-// Messages registers this package's messages.
+// Messages lists the wire messages of this package.
 var Messages = []wire.Entry{
 	{Kind: 64, Message: &Join{}},
 	{Kind: 65, Message: &Have{}},
--- a/weights/neighbour.go
+++ b/weights/neighbour.go
@@ -9,10 +9,10 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// lookEvery is how often the neighbours are compared with the members.
-const lookEvery = time.Second
+// membersInterval is how often the sessions are adapted to the current members.
+const membersInterval = time.Second
 
-// keepNeighbours holds a session with each box that the strategy names.
+// keepNeighbours maintains a session with each neighbour of the strategy.
 func (t *Transfer) keepNeighbours(ctx context.Context) {
 	var dialling kernel.WorkerSet[Member]
 	defer dialling.Stop()
@@ -23,13 +23,13 @@
 			t.mu.Lock()
 			t.plan.SetMembers(names)
 			if t.Exchange.PreferHall {
-				t.plan.SetHallMembers(t.near(members))
+				t.plan.SetHallMembers(t.hallMembers(members))
 			}
 			t.mu.Unlock()
 			last = names
 		}
 		dialling.Sync(ctx, t.Exchange.Strategy.Neighbours(t.Exchange.Self, members), t.dial)
-		kernel.Sleep(ctx, lookEvery)
+		kernel.Sleep(ctx, membersInterval)
 	}
 }
 
@@ -45,21 +45,21 @@
 	return true
 }
 
-// dial keeps a session with one neighbour until ctx ends. Waits between tries
-// rise to a cap and differ from pair to pair.
+// dial maintains a session with one neighbour until ctx ends. The delay between attempts grows
+// up to a limit and differs from pair to pair.
 func (t *Transfer) dial(ctx context.Context, m Member) {
-	const first, most = 100 * time.Millisecond, time.Second
-	spread := time.Duration(rendezvous.Score(t.Exchange.Self.Name, m.Name) % uint64(first))
-	for wait := first; ctx.Err() == nil; wait = min(2*wait, most) {
-		if t.join(ctx, m) {
+	const first, limit = 100 * time.Millisecond, time.Second
+	jitter := time.Duration(rendezvous.Score(t.Exchange.Self.Name, m.Name) % uint64(first))
+	for wait := first; ctx.Err() == nil; wait = min(2*wait, limit) {
+		if t.openSession(ctx, m) {
 			wait = first
 		}
-		kernel.Sleep(ctx, wait+spread)
+		kernel.Sleep(ctx, wait+jitter)
 	}
 }
 
-// join opens a session and serves it to its end. It reports whether one was had.
-func (t *Transfer) join(ctx context.Context, m Member) bool {
+// openSession opens a session and runs it to its end. It reports whether there was a session.
+func (t *Transfer) openSession(ctx context.Context, m Member) bool {
 	c, err := t.Exchange.Pool.Get(ctx, m.Addr)
 	if err != nil {
 		return false
@@ -69,11 +69,11 @@
 	has := t.plan.Have().Clone()
 	t.mu.Unlock()
 	if already {
-		// The neighbour dialled us; its session serves both ends.
-		kernel.Sleep(ctx, lookEvery)
+		// The neighbour has opened a session, which serves both ends.
+		kernel.Sleep(ctx, membersInterval)
 		return true
 	}
-	s, err := c.Open(ctx, &Join{Artifact: t.Artifact, Has: has, Queue: t.Exchange.queue()})
+	s, err := c.Open(ctx, &Join{Artifact: t.Artifact, Has: has, Queue: t.Exchange.uploadLoad()})
 	if err != nil {
 		return false
 	}
@@ -83,73 +83,74 @@
 	if err != nil || !ok || reply.Artifact != t.Artifact {
 		return false
 	}
-	t.exchangeHaves(ctx, s, m, has, reply)
+	t.runSession(ctx, s, m, has, reply)
 	return true
 }
 
-// session serves a session that a neighbour opened.
-func (t *Transfer) session(ctx context.Context, s *wire.Stream, m *Join) {
+// acceptSession runs a session that a neighbour opened.
+func (t *Transfer) acceptSession(ctx context.Context, s *wire.Stream, m *Join) {
 	remote := s.Conn().Remote()
 	peer := Member{Name: remote.Box, Hall: remote.Hall}
 	t.mu.Lock()
 	has := t.plan.Have().Clone()
 	t.mu.Unlock()
-	if s.Send(ctx, &Join{Artifact: t.Artifact, Has: has, Queue: t.Exchange.queue()}) != nil {
+	if s.Send(ctx, &Join{Artifact: t.Artifact, Has: has, Queue: t.Exchange.uploadLoad()}) != nil {
 		return
 	}
-	t.exchangeHaves(ctx, s, peer, has, m)
+	t.runSession(ctx, s, peer, has, m)
 }
 
-// exchangeHaves runs a session: told is what the neighbour was told already.
-func (t *Transfer) exchangeHaves(ctx context.Context, s *wire.Stream, peer Member, told Bitmap, first *Join) {
+// runSession runs a session to its end; sent is the set of chunks that the neighbour has
+// already received.
+func (t *Transfer) runSession(ctx context.Context, s *wire.Stream, peer Member, sent Bitmap, first *Join) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	own := &session{peer: peer, conn: s.Conn(), wake: make(chan struct{}, 1)}
+	sess := &session{peer: peer, conn: s.Conn(), wake: make(chan struct{}, 1)}
 	t.mu.Lock()
 	if t.sessions[peer.Name] != nil {
-		// Both dialled at once. Two sessions do no harm: the second only tells.
-		own = nil
+		// Both ends dialled at the same time. The second session is harmless and is closed.
+		sess = nil
 	} else {
-		t.sessions[peer.Name] = own
-		own.news = t.plan.GossipSnapshot(time.Now())
+		t.sessions[peer.Name] = sess
+		sess.gossip = t.plan.GossipSnapshot(time.Now())
 		t.plan.PeerHas(time.Now(), peer.Name, first.Has, first.Queue)
 		for i := range t.plan.Chunks {
-			if t.plan.Have().Has(i) && !told.Has(i) {
-				own.unsent = append(own.unsent, i)
+			if t.plan.Have().Has(i) && !sent.Has(i) {
+				sess.unsent = append(sess.unsent, i)
 			}
 		}
 	}
 	t.mu.Unlock()
-	if own == nil {
+	if sess == nil {
 		return
 	}
-	t.happened() // What the first message told is passed on with the next look.
-	go t.sendHaves(ctx, s, own)
+	t.notify() // Forward what the first message contained with the next step of the loop.
+	go t.sendHaves(ctx, s, sess)
 	t.receiveHaves(ctx, s, peer.Name)
 	t.mu.Lock()
 	delete(t.sessions, peer.Name)
 	t.plan.PeerDisconnected(peer.Name)
 	t.mu.Unlock()
-	t.happened()
+	t.notify()
 }
 
-// sendHaves tells a neighbour what came since, at most once in a flush period.
-func (t *Transfer) sendHaves(ctx context.Context, s *wire.Stream, own *session) {
+// sendHaves sends new chunks and gossip to a neighbour, at most once in a flush interval.
+func (t *Transfer) sendHaves(ctx context.Context, s *wire.Stream, sess *session) {
 	flush := orDefault(t.Exchange.FlushInterval, defaultFlush)
 	for {
 		t.mu.Lock()
-		h := Have{Chunks: own.unsent, Gossip: own.news}
-		own.unsent, own.news = nil, Gossip{}
+		h := Have{Chunks: sess.unsent, Gossip: sess.gossip}
+		sess.unsent, sess.gossip = nil, Gossip{}
 		t.mu.Unlock()
 		if len(h.Chunks) > 0 || !h.Gossip.Empty() {
-			h.Queue = t.Exchange.queue()
+			h.Queue = t.Exchange.uploadLoad()
 			if s.Send(ctx, &h) != nil {
 				return
 			}
 		}
 		kernel.Sleep(ctx, flush)
 		select {
-		case <-own.wake:
+		case <-sess.wake:
 		case <-ctx.Done():
 			return
 		}
@@ -174,8 +175,8 @@
 		now := time.Now()
 		t.plan.PeerHas(now, peer, got, h.Queue)
 		t.plan.ApplyGossip(now, h.Gossip)
-		t.tellNews(peer)
+		t.spreadGossip(peer)
 		t.mu.Unlock()
-		t.happened()
+		t.notify()
 	}
 }
--- a/weights/order_test.go
+++ b/weights/order_test.go
@@ -12,8 +12,8 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-// Every chunk has exactly one box that is first for it, the boxes ahead of each are
-// as many as it believes, and no box is first for more than its share.
+// Each chunk has exactly one first box, the positions of the boxes are consistent with one
+// another, and no box is first for more than its share.
 func TestOrderIsAgreedAndBalanced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
@@ -24,7 +24,7 @@
 		}
 		at := make([]map[int]bool, chunks)
 		for _, self := range names {
-			o := orderOf(Swarm.OrderKey, chunks, self, names, true)
+			o := computeOrder(Swarm.OrderKey, chunks, self, names, true)
 			mine := 0
 			for i, p := range o.position {
 				if at[i] == nil {
@@ -39,12 +39,12 @@
 			is.True(mine <= (chunks+boxes-1)/boxes)
 		}
 		for i := range chunks {
-			is.Equal(len(at[i]), boxes) // All places are taken, each by one box.
+			is.Equal(len(at[i]), boxes) // Each position is taken by one box.
 		}
 	})
 }
 
-// A box that comes or goes changes who is first for few chunks of the others.
+// A box that joins or leaves changes the first box of few chunks of the others.
 func TestOrderChangesLittle(t *testing.T) {
 	is := is.New(t)
 	const chunks, boxes = 96, 24
@@ -52,11 +52,11 @@
 	for i := range boxes {
 		names = append(names, fmt.Sprintf("10.0.0.%d", i))
 	}
-	whole := orderOf(Swarm.OrderKey, chunks, names[0], names, true)
-	less := orderOf(Swarm.OrderKey, chunks, names[0], names[:boxes-1], true)
+	full := computeOrder(Swarm.OrderKey, chunks, names[0], names, true)
+	reduced := computeOrder(Swarm.OrderKey, chunks, names[0], names[:boxes-1], true)
 	moved := 0
 	for i := range chunks {
-		if whole.first[i] != names[boxes-1] && whole.first[i] != less.first[i] {
+		if full.first[i] != names[boxes-1] && full.first[i] != reduced.first[i] {
 			moved++
 		}
 	}
--- a/weights/origin.go
+++ b/weights/origin.go
@@ -17,9 +17,9 @@
 	HTTP *http.Client
 }
 
-// Get returns the bytes with a digest. When the store says 429 or 503 it waits
-// as long as Retry-After asks, at most a few seconds, and fails with
-// fault.Throttled, so that the caller's plan can look elsewhere.
+// Get fetches the data with the given digest. If the origin answers 429 or 503, Get waits for
+// the time in Retry-After, bounded by a few seconds, and fails with fault.Throttled, so that
+// the plan can use another source.
 func (o *OriginClient) Get(ctx context.Context, digest string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, o.URL+"/blobs/"+digest, nil)
 	if err != nil {
--- a/weights/origin_test.go
+++ b/weights/origin_test.go
@@ -15,8 +15,8 @@
 	"github.com/poststand/poststand/internal/simnet"
 )
 
-// The store's refusal is waited out as long as it asks, within a bound, and told
-// apart from a failure.
+// A refusal of the origin is followed by a wait for the time that it gives, up to a bound, and
+// has another code than a failure.
 func TestOriginsRefusalIsHonoured(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -51,12 +51,12 @@
 	}
 }
 
-// When the origin comes back, what it has yet to send leaves it at once and from many
-// boxes, one chunk each: all boxes have a copy soon after its link can have carried it.
+// After an outage of the origin, many boxes fetch one chunk each at once, so that all boxes
+// have a copy soon after the origin's link can have carried it.
 func TestOriginsReturnIsUsedByAll(t *testing.T) {
 	is := is.New(t)
 	b := small(20)
-	b.chunks, b.window, b.sharing = 96, 5*time.Second, true
+	b.chunks, b.window, b.sharedLinks = 96, 5*time.Second, true
 	b.hook = func(s *sim) {
 		time.Sleep(1100 * time.Millisecond)
 		s.mu.Lock()
@@ -69,33 +69,33 @@
 	}
 	f := b.run(t, 12*time.Second)
 	const back = 6100 * time.Millisecond
-	is.True(f.ready[len(f.ready)-1] < back+1070*time.Millisecond) // 0.78 to 0.88 s; 1.15 to 1.33 where each box finds out by itself.
+	is.True(f.ready[len(f.ready)-1] < back+1070*time.Millisecond) // Takes 0.78 to 0.88 s; 1.15 to 1.33 s if each box detects the recovery by itself.
 	is.True(f.origin < 1.1)
 }
 
-// mesh joins plans that tell one another all that they learn, each message taking some
-// time, and an origin that serves every fetch after some time.
+// mesh connects plans that forward all their gossip to one another with a fixed message delay,
+// and an origin that completes every fetch after a fixed time.
 type mesh struct {
-	now     time.Time
-	plans   map[string]*Plan
-	names   []string
-	lag     time.Duration // Of a message,
-	serves  time.Duration // and of a fetch.
-	refuses map[string]bool
-	silent  map[string]bool // Boxes that do nothing.
-	cut     map[string]bool // Boxes that hear only one another.
-	fetched map[int]map[string]int
-	later   []event
+	now          time.Time
+	plans        map[string]*Plan
+	names        []string
+	messageDelay time.Duration // Delay of a message.
+	fetchTime    time.Duration // Duration of a fetch from the origin.
+	refuses      map[string]bool
+	silent       map[string]bool // Boxes that do nothing: they have failed.
+	cut          map[string]bool // Boxes that receive messages only from one another.
+	fetched      map[int]map[string]int
+	pending      []event
 }
 
 type event struct {
-	at time.Time
-	do func()
+	at  time.Time
+	run func()
 }
 
-func newMesh(boxes, chunks int, here Bitmap) *mesh {
+func newMesh(boxes, chunks int, held Bitmap) *mesh {
 	m := &mesh{
-		now: time.Date(2026, 12, 2, 18, 0, 0, 0, time.UTC), plans: map[string]*Plan{}, lag: 30 * time.Millisecond, serves: 100 * time.Millisecond,
+		now: time.Date(2026, 12, 2, 18, 0, 0, 0, time.UTC), plans: map[string]*Plan{}, messageDelay: 30 * time.Millisecond, fetchTime: 100 * time.Millisecond,
 		refuses: map[string]bool{}, silent: map[string]bool{}, cut: map[string]bool{}, fetched: map[int]map[string]int{},
 	}
 	for i := range boxes {
@@ -106,22 +106,22 @@
 			Self: n, Strategy: Swarm, Chunks: chunks, StartAt: m.now, OriginCopyTime: 2 * time.Second, ChunkTime: 25 * time.Millisecond,
 			Stagger: 150 * time.Millisecond, OriginParallel: 3,
 		}
-		p.Init(here, m.names)
+		p.Init(held, m.names)
 		m.plans[n] = p
 	}
 	return m
 }
 
-// run plays until a time, in small steps.
+// run advances the mesh by a duration, in small steps.
 func (m *mesh) run(until time.Duration) {
 	for end := m.now.Add(until); m.now.Before(end); m.now = m.now.Add(2 * time.Millisecond) {
-		due := m.later
-		m.later = nil
+		due := m.pending
+		m.pending = nil
 		for _, e := range due {
 			if e.at.After(m.now) {
-				m.later = append(m.later, e)
+				m.pending = append(m.pending, e)
 			} else {
-				e.do()
+				e.run()
 			}
 		}
 		for _, n := range m.names {
@@ -139,15 +139,15 @@
 		if a.From != Origin {
 			continue
 		}
-		m.after(m.serves, func() { m.serve(n, a.Chunk) })
+		m.after(m.fetchTime, func() { m.serve(n, a.Chunk) })
 	}
-	news := p.TakeGossip()
-	if news.Empty() {
+	gossip := p.TakeGossip()
+	if gossip.Empty() {
 		return
 	}
 	for _, o := range m.names {
 		if o != n && !m.silent[o] && m.cut[o] == m.cut[n] {
-			m.after(m.lag, func() { m.plans[o].ApplyGossip(m.now, news) })
+			m.after(m.messageDelay, func() { m.plans[o].ApplyGossip(m.now, gossip) })
 		}
 	}
 }
@@ -167,16 +167,17 @@
 	has.Set(chunk)
 	for _, o := range m.names {
 		if o != n && !m.silent[o] && m.cut[o] == m.cut[n] {
-			m.after(m.lag, func() { m.plans[o].PeerHas(m.now, n, has, 0) })
+			m.after(m.messageDelay, func() { m.plans[o].PeerHas(m.now, n, has, 0) })
 		}
 	}
 }
 
 func (m *mesh) after(d time.Duration, do func()) {
-	m.later = append(m.later, event{m.now.Add(d), do})
+	m.pending = append(m.pending, event{m.now.Add(d), do})
 }
 
-// copies returns how many chunks were fetched, how often in all, and by how many boxes.
+// copies returns the number of chunks that were fetched, of all fetches, and of boxes that
+// fetched.
 func (m *mesh) copies() (chunks, fetches, boxes int) {
 	by := map[string]bool{}
 	for _, c := range m.fetched {
@@ -188,7 +189,7 @@
 	return len(m.fetched), fetches, len(by)
 }
 
-// allBut returns all chunks but the last ones.
+// allBut returns all chunks except the last ones.
 func allBut(chunks, left int) Bitmap {
 	b := NewBitmap(chunks)
 	for i := range chunks - left {
@@ -197,8 +198,8 @@
 	return b
 }
 
-// What an absent origin has yet to send leaves it once each and soon after its return,
-// and is fetched by many boxes, none of which has many to get one after the other.
+// After an outage of the origin, each remaining chunk is fetched from it once and soon, and by
+// many boxes, none of which fetches many chunks in sequence.
 func TestWhatIsLeftIsSharedAnew(t *testing.T) {
 	is := is.New(t)
 	const boxes, left = 20, 13
@@ -208,18 +209,18 @@
 	}
 	m.run(4 * time.Second)
 	clear(m.refuses)
-	m.run(800 * time.Millisecond) // A try each 40 ms, and two rounds of 100 ms.
+	m.run(800 * time.Millisecond) // One probe each 40 ms, and two rounds of 100 ms.
 	chunks, fetches, by := m.copies()
 	is.Equal(chunks, left)
-	is.True(fetches <= left+3) // Tries that found it back at the same moment.
+	is.True(fetches <= left+3) // Probes that succeeded at the same time.
 	is.True(by >= left/2)
 	for _, n := range m.names {
-		is.True(m.plans[n].atOrigin <= 3)
+		is.True(m.plans[n].openAtOrigin <= 3)
 	}
 }
 
-// While the origin is away, it is asked about as often as all boxes together may: not by
-// each of them again and again.
+// While the origin is down, the rate of probes is bounded for all boxes together, not for each
+// box.
 func TestAbsentOriginIsAskedLittle(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(40, 96, nil)
@@ -231,27 +232,27 @@
 	before := m.asked()
 	m.run(4 * time.Second)
 	asked = m.asked() - before
-	is.True(asked > 4*10) // Its return is seen soon,
-	is.True(asked < 4*50) // and 27 tries a second are meant.
+	is.True(asked > 4*10) // Recovery is detected soon,
+	is.True(asked < 4*50) // and the intended rate is 27 probes a second.
 }
 
-// asked returns how many fetches from the origin were begun.
+// asked returns the number of fetches from the origin that were started.
 func (m *mesh) asked() int {
 	n := 0
 	for _, p := range m.plans {
-		n += p.asked
+		n += p.originRequests
 	}
 	return n
 }
 
-// A chunk always has a box that fetches it, whichever boxes are gone, cannot reach the
-// origin or are cut off with it, as long as two that hear one another can.
+// Every chunk is fetched by some box even if boxes have failed, cannot reach the origin or are
+// cut off together without the origin, as long as two connected boxes can reach it.
 func TestAChunkAlwaysHasAClaimant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		const boxes, left = 16, 12
 		m := newMesh(boxes, 24, allBut(24, left))
-		for _, n := range m.names[2:] { // The first two are sound.
+		for _, n := range m.names[2:] { // The first two have no fault.
 			switch rapid.IntRange(0, 3).Draw(t, "state") {
 			case 0:
 				m.silent[n] = true
@@ -271,34 +272,35 @@
 	})
 }
 
-// A box that hears from no other leaves them their chunks: it is most likely the one
-// that is cut off, and would bring a second copy out of the origin.
+// A box that receives no messages does not fetch the chunks of the others: it is most likely
+// the one that is cut off, and would make the origin send a second copy.
 func TestBoxThatHearsNothingLeavesTheOriginAlone(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(16, 96, nil)
 	for _, p := range m.plans {
-		p.ChunkTime = 200 * time.Millisecond // Larger chunks: five seconds for each box ahead.
+		p.ChunkTime = 200 * time.Millisecond // Larger chunks give a wait of five seconds for each box ranked before it.
 	}
 	m.run(500 * time.Millisecond)
 	lone := m.names[3]
 	m.cut[lone] = true
-	m.after(1500*time.Millisecond, func() { // Its connections are noticed to be dead.
+	m.after(1500*time.Millisecond, func() { // Its connections are detected as dead.
 		for _, n := range m.names {
 			m.plans[lone].PeerDisconnected(n)
 		}
 	})
-	before := m.plans[lone].asked
+	before := m.plans[lone].originRequests
 	m.run(3 * time.Second)
-	is.True(m.plans[lone].asked-before < 20) // Of some 80 that left the origin meanwhile.
+	is.True(m.plans[lone].originRequests-before < 20) // Of about 80 that left the origin in that time.
 }
 
-// A spoilt answer is asked for again at once, and then by another box.
+// After a corrupt answer the chunk is requested again at once, and after a second one it is
+// left to another box.
 func TestSpoiltAnswerIsAskedForAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 12, 2, 18, 0, 0, 0, time.UTC)
 	p := &Plan{Self: "a", Strategy: Swarm, Chunks: 1, StartAt: now, OriginCopyTime: time.Second, ChunkTime: 10 * time.Millisecond}
 	p.Init(nil, []string{"a"})
-	for range spoiltAllowed {
+	for range maxCorruptAnswers {
 		todo, _ := p.Next(now)
 		is.Equal(len(todo), 1)
 		p.FetchEnded(now, 0, Origin, fault.Corrupt)
@@ -306,22 +308,22 @@
 	todo, wake := p.Next(now)
 	is.Equal(len(todo), 0)
 	is.True(wake.After(now))
-	news := p.TakeGossip()
-	is.Equal(news.Claims[len(news.Claims)-1].TTL, time.Duration(0)) // It has given the chunk up.
+	gossip := p.TakeGossip()
+	is.Equal(gossip.Claims[len(gossip.Claims)-1].TTL, time.Duration(0)) // The box has released the claim.
 }
 
-// The chunk of a box that is lost while it fetches is fetched by another one soon.
+// If a box fails while it fetches a chunk, another box fetches the chunk soon.
 func TestClaimOfALostBoxEnds(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(8, 12, allBut(12, 4))
-	m.serves = time.Second
+	m.fetchTime = time.Second
 	m.run(50 * time.Millisecond)
 	for _, n := range m.names {
-		if m.plans[n].atOrigin > 0 {
-			m.silent[n] = true // It has claimed chunks and told all.
+		if m.plans[n].openAtOrigin > 0 {
+			m.silent[n] = true // It has claimed chunks, and all boxes have received the claims.
 		}
 	}
-	m.serves = 100 * time.Millisecond
+	m.fetchTime = 100 * time.Millisecond
 	m.run(950 * time.Millisecond)
 	for i := 8; i < 12; i++ {
 		by := 0
@@ -334,21 +336,22 @@
 	}
 }
 
-// A chunk that was due for a while, since boxes let their turns at those before it pass, and
-// is due again later has its turns anew: it is the first box there is of its order that
-// claims it, not whichever of those whose turns were back then sees it first, or all of them.
+// Turns restart when a chunk is due again. A chunk can be due for a while because boxes missed
+// their turns at chunks before it, and be due again later. It must then be claimed by the
+// first live box in its ranking, not by the first of those whose earlier turns have passed,
+// nor by all of them.
 func TestTurnsBeginAnewWithAChunkThatIsDueAgain(t *testing.T) {
 	is := is.New(t)
 	const left = 8
 	m := newMesh(12, 24, allBut(24, left))
 	for _, p := range m.plans {
-		p.OriginCopyTime = 24 * time.Second // One second a chunk: two of them are due at once.
+		p.OriginCopyTime = 24 * time.Second // One second a chunk, so that two chunks are due at the same time.
 	}
 	first := m.plans[m.names[0]].order.first
-	m.silent[first[24-left]] = true   // The next one is passed over, and the chunk
-	m.silent[first[24-left+2]] = true // behind both is due until somebody claims that.
-	m.serves = 2 * time.Second
-	m.run(left * m.serves)
+	m.silent[first[24-left]] = true   // The first chunk's box has failed, so the chunk
+	m.silent[first[24-left+2]] = true // two places behind becomes due until the first one is claimed.
+	m.fetchTime = 2 * time.Second
+	m.run(left * m.fetchTime)
 	chunks, fetches, _ := m.copies()
 	is.Equal(chunks, left)
 	is.Equal(fetches, left)
@@ -360,8 +363,8 @@
 	}
 }
 
-// Two boxes that claim a chunk at the same moment, as they know of different members,
-// agree on which of them goes on.
+// Two boxes with different member lists that claim a chunk at the same time agree on which of
+// them continues.
 func TestOneOfTwoClaimsYields(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(2, 1, nil)
--- a/weights/progress.go
+++ b/weights/progress.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Complete is closed when every chunk is in the store.
+// Complete returns a channel that is closed when every chunk is in the store.
 func (t *Transfer) Complete() <-chan struct{} {
 	t.init()
 	return t.complete
 }
 
-// CompletedAt is when the last chunk came; zero before that.
+// CompletedAt returns the time at which the last chunk arrived, or the zero time while the
+// transfer is incomplete.
 func (t *Transfer) CompletedAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.wholeAt
+	return t.completedAt
 }
 
-// Manifest returns the manifest, or nil while it is not here.
+// Manifest returns the manifest, or nil before it has been fetched.
 func (t *Transfer) Manifest() *Manifest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.manifest
 }
 
-// Progress returns how many chunks there are and how many are missing.
+// Progress returns the number of chunks and how many of them are missing.
 func (t *Transfer) Progress() (chunks, missing int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -32,8 +33,8 @@
 	return t.plan.Chunks, t.plan.Missing()
 }
 
-// ParallelFraction is the part of its usual fetches that the box has open: less than 1 where
-// its link turns out slower than it should be.
+// ParallelFraction returns the number of fetches that the box may have open as a fraction of
+// the configured number. It is below 1 where the box's link is slower than expected.
 func (t *Transfer) ParallelFraction() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,9 +44,8 @@
 	return t.plan.ParallelFraction()
 }
 
-// Unseeded returns how many chunks have yet to leave the origin, as far as is known:
-// all of them, of which -1 says that the number is not known, while there is no
-// manifest.
+// Unseeded returns the number of chunks that no box is known to have received from the origin.
+// It returns -1 before the manifest has been fetched.
 func (t *Transfer) Unseeded(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,44 +55,44 @@
 	return t.plan.Unseeded(now)
 }
 
-// SetYieldOrigin has the transfer leave the origin to another one, or use it again.
+// SetYieldOrigin sets whether the transfer leaves the origin to another transfer.
 func (t *Transfer) SetYieldOrigin(yields bool) {
 	t.init()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.yields = yields
+	t.yieldOrigin = yields
 	if t.plan != nil && t.plan.YieldOrigin != yields {
 		t.plan.YieldOrigin = yields
-		t.happened()
+		t.notify()
 	}
 }
 
-// SetSingleFetch has the transfer keep no more than one chunk of a peer and one of the origin on
-// their way, or as many as usual again.
+// SetSingleFetch sets whether the transfer is limited to one open fetch from a peer and one
+// from the origin.
 func (t *Transfer) SetSingleFetch(few bool) {
 	t.init()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.few = few
+	t.singleFetch = few
 	if t.plan != nil && t.plan.SingleFetch != few {
 		t.plan.SingleFetch = few
-		t.happened()
+		t.notify()
 	}
 }
 
-// openFetches is how many fetches the link bears, as far as this transfer has found
-// out; zero if it is complete or knows of nothing.
+// openFetches returns the number of fetches that the link sustains as measured by this
+// transfer, or zero if the transfer is complete or has not measured it.
 func (t *Transfer) openFetches() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.plan == nil || t.plan.Complete() {
 		return 0
 	}
-	return t.plan.parallel
+	return t.plan.currentParallel
 }
 
-// CompleteBy estimates when the transfer will be complete, if it goes on as it did so
-// far. It is zero while nothing is known, and when the transfer is complete.
+// CompleteBy extrapolates the time of completion from the rate so far. It returns the zero
+// time before the first chunk and after completion.
 func (t *Transfer) CompleteBy(now time.Time) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,8 +101,8 @@
 	}
 	missing := t.plan.Missing()
 	got := t.missingAtFirst - missing
-	if missing == 0 || got <= 0 || t.firstAt.IsZero() {
+	if missing == 0 || got <= 0 || t.firstChunkAt.IsZero() {
 		return time.Time{}
 	}
-	return now.Add(now.Sub(t.firstAt) / time.Duration(got) * time.Duration(missing))
+	return now.Add(now.Sub(t.firstChunkAt) / time.Duration(got) * time.Duration(missing))
 }
--- a/weights/sim_test.go
+++ b/weights/sim_test.go
@@ -18,35 +18,36 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// burst is one case of a distribution in virtual time: the real code of many
-// boxes over faked links.
+// burst describes one distribution in virtual time: the real code of many boxes over simulated
+// links.
 type burst struct {
 	boxes    int
 	chunks   int
 	policy   string // "time" or "origin-bytes".
 	strategy Strategy
-	shared   bool          // One link for up and down.
-	window   time.Duration // A box's link carries 2 copies in it, the origin's 4.
-	faults   bool          // 10% die, 1% of chunks corrupt, 5% of links stall.
+	shared   bool          // One link for both directions.
+	window   time.Duration // A box's link carries two copies in this time, the origin's four.
+	faults   bool          // 10% of boxes fail, 1% of chunks are corrupt, 5% of links stall.
 	seed     uint64
-	// pinned gives every box the manifest beforehand. A real one is a millionth
-	// of its model; that of a model as small as these would weigh a hundredth.
-	pinned bool
-	// sharing is as boxes whose replicas share their link: one copy into each hall,
-	// three fetches from the origin at once, fewer fetches where the link is slow.
-	sharing bool
-	// startAt, if set, is when a box hears of the artifact, beside a drawn moment.
+	// haveManifest gives every box the manifest in advance. A real manifest is a millionth of
+	// its model; that of a model as small as these would be a hundredth.
+	haveManifest bool
+	// sharedLinks configures the boxes as those whose replicas share their link: one copy into
+	// each hall, three concurrent fetches from the origin, and fewer fetches while the link is
+	// slow.
+	sharedLinks bool
+	// startAt, if set, returns when a box starts its transfer, in addition to a random delay.
 	startAt func(s *sim, name string) time.Duration
-	hook    func(s *sim) // Causes a fault of a test's own, in a goroutine.
+	hook    func(s *sim) // Injects the faults of a test, in a goroutine.
 }
 
-// figures is what a burst came to.
+// figures are the results of a burst.
 type figures struct {
-	ready     []time.Duration // Of each box that lived, in order.
+	ready     []time.Duration // Completion times of the live boxes, sorted.
 	bound     time.Duration
 	origin    float64 // Copies that left the origin.
-	maxUpload float64 // Copies that the busiest box sent.
-	control   float64 // Bytes a second and box.
+	maxUpload float64 // Copies sent by the busiest box.
+	control   float64 // Control traffic in bytes a second, per box.
 	events    map[EventKind]int
 	dead      int
 }
@@ -60,7 +61,7 @@
 
 var simCodec = wire.NewCodec(Messages)
 
-// sim is a burst while it runs.
+// sim is a running burst.
 type sim struct {
 	burst
 	t          *testing.T
@@ -73,10 +74,10 @@
 	boxes      map[string]*simBox
 	members    []Member
 	originDown bool
-	originCut  map[string]bool // Halls.
-	corrupter  map[string]bool // Boxes that corrupt all that they send.
+	originCut  map[string]bool // By hall.
+	corrupter  map[string]bool // Boxes that corrupt everything they send.
 	events     map[EventKind]int
-	busy       atomic.Bool // A hook still causes faults.
+	busy       atomic.Bool // The hook is still running.
 }
 
 type simBox struct {
@@ -89,7 +90,7 @@
 	done     chan struct{} // Closed when the box's transfer has returned.
 }
 
-// run plays a burst until every box that lives is ready, or for limit.
+// run runs a burst until every live box is complete, or for limit.
 func (b burst) run(t *testing.T, limit time.Duration) *figures {
 	var f *figures
 	synctest.Test(t, func(t *testing.T) {
@@ -144,8 +145,8 @@
 
 func (s *sim) member(name string) Member { return Member{Name: name, Hall: s.hall(name), Addr: name} }
 
-// latency differs from pair to pair by nanoseconds, so that few things happen
-// at the very same moment and runs are alike.
+// latency differs from pair to pair by nanoseconds, so that few events coincide and runs are
+// reproducible.
 func (s *sim) latency(a, b string) time.Duration {
 	base := 500 * time.Microsecond
 	if s.hall(a) != s.hall(b) {
@@ -165,7 +166,7 @@
 	b.cancel = cancel
 	hs := &wire.Handlers{}
 	hello := wire.Hello{Cluster: "sim", Box: name, Hall: b.Hall, Incarnation: 1}
-	// Small buffers, as a real chunk is larger than any buffer on its way.
+	// Small buffers, because a real chunk is larger than any buffer on its path.
 	opts := wire.Options{WriteQueue: 1, BufferSize: simChunk / 4}
 	b.exchange = &Exchange{
 		Self: b.Member, Store: &Store{}, Strategy: s.strategy, PartBytes: simChunk / 4, UploadSlots: *simSlots, UploadQueue: *simQueue, Parallel: *simParallel, FetchOrigin: s.fromOrigin(b),
@@ -182,12 +183,12 @@
 			},
 		},
 	}
-	if s.sharing {
+	if s.sharedLinks {
 		b.exchange.PreferHall, b.exchange.AdaptiveParallel, b.exchange.OriginParallel = true, true, 3
 		b.exchange.FlushInterval, b.exchange.UploadSlots, b.exchange.UploadQueue = 25*time.Millisecond, 1, 4
 	}
-	if s.pinned {
-		b.exchange.keepManifest(Digest(s.manifest), s.manifest)
+	if s.haveManifest {
+		b.exchange.cacheManifest(Digest(s.manifest), s.manifest)
 	}
 	b.exchange.Serve(hs)
 	srv := &wire.Server{Local: hello, Codec: simCodec, Handlers: hs, Options: opts}
@@ -245,7 +246,7 @@
 	}
 }
 
-// wait returns the figures once all boxes that live are ready.
+// wait returns the figures once all live boxes are complete.
 func (s *sim) wait(limit time.Duration) *figures {
 	next := s.window / 20
 	for time.Since(s.began) < limit && (s.busy.Load() || !s.allReady()) {
@@ -284,7 +285,7 @@
 	return f
 }
 
-// trace prints how far the boxes are.
+// trace prints the progress of the boxes.
 func (s *sim) trace() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -297,10 +298,10 @@
 		if b.transfer.plan != nil {
 			begun++
 			sess += len(b.transfer.sessions)
-			open += b.transfer.plan.open
+			open += b.transfer.plan.openFetches
 		}
 		b.transfer.mu.Unlock()
-		busy += b.exchange.queue()
+		busy += b.exchange.uploadLoad()
 	}
 	slices.Sort(missing)
 	fmt.Printf("at=%s least=%d median=%d most=%d open=%d uploading=%d refused=%d begun=%d sessions=%d origin=%d\n", time.Since(s.began), missing[0],
@@ -329,5 +330,5 @@
 		s.net.Remove(name)
 		<-b.done
 	}
-	time.Sleep(time.Minute) // For what still sleeps on a link.
+	time.Sleep(time.Minute) // For goroutines that still sleep in a link.
 }
--- a/weights/simfaults_test.go
+++ b/weights/simfaults_test.go
@@ -25,7 +25,7 @@
 }
 
 func (f *flipper) Write(b []byte) (int, error) {
-	const share = 0.01 / 4 // Of the parts, so that 1% of chunks are corrupt.
+	const share = 0.01 / 4 // Share of parts, so that 1% of chunks are corrupt.
 	f.s.mu.Lock()
 	always := f.s.corrupter[f.from]
 	f.s.mu.Unlock()
@@ -36,7 +36,7 @@
 	return f.Conn.Write(b)
 }
 
-// kill ends a box as a power cut does; the fleet list notices late.
+// kill ends a box as a power failure does. The member list omits it only after a delay.
 func (s *sim) kill(name string) {
 	s.mu.Lock()
 	b := s.boxes[name]
@@ -71,7 +71,7 @@
 	change()
 }
 
-// cutHall cuts a hall from the others, or heals that.
+// cutHall cuts a hall off from the other halls, or reconnects it.
 func (s *sim) cutHall(hall string, cut bool) {
 	for _, a := range s.listed() {
 		for _, b := range s.listed() {
@@ -82,7 +82,7 @@
 	}
 }
 
-// pause stalls everything to and from a box, as a stopped process does.
+// pause stalls all traffic of a box, as a suspended process does.
 func (s *sim) pause(name string, paused bool) {
 	for _, m := range s.listed() {
 		if m.Name != name {
@@ -91,7 +91,7 @@
 	}
 }
 
-// join adds a box that was not there at the start.
+// join adds a box after the start.
 func (s *sim) join(name string) {
 	s.mu.Lock()
 	s.members = append(slices.Clone(s.members), s.member(name))
--- a/weights/store.go
+++ b/weights/store.go
@@ -7,26 +7,26 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Store keeps verified chunks in bounded memory, by digest. The zero value has
-// no bound. Methods are safe for use by many goroutines.
+// Store keeps verified chunks in bounded memory, keyed by digest. The zero value is an
+// unbounded store. Its methods are safe for concurrent use.
 type Store struct {
-	Limit int64 // Bytes; 0 is no bound.
+	Limit int64 // Bytes; 0 means no limit.
 
 	mu     sync.Mutex
-	chunks map[string]*list.Element // Of *held, the most recently used first.
+	chunks map[string]*list.Element // Values are *entry, most recently used first.
 	recent list.List
-	pins   map[string]map[string]bool // Digests that each holder needs.
+	pins   map[string]map[string]bool // Pinned digests by holder.
 	bytes  int64
 }
 
-type held struct {
+type entry struct {
 	digest string
 	data   []byte
 }
 
-// Put keeps data under digest if it matches. Chunks that nobody has pinned make
-// room, the least recently used first; if that does not suffice it fails with
-// fault.StoreFull and keeps what it had.
+// Put stores data under digest if it matches. Unpinned chunks are evicted to make room, least
+// recently used first. If that does not free enough, Put fails with fault.StoreFull and evicts
+// nothing.
 func (s *Store) Put(digest string, data []byte) error {
 	if Digest(data) != digest {
 		return fault.New(fault.Corrupt, digest)
@@ -40,21 +40,21 @@
 		s.recent.MoveToFront(e)
 		return nil
 	}
-	if !s.makeRoom(int64(len(data))) {
+	if !s.evict(int64(len(data))) {
 		return fault.New(fault.StoreFull, digest)
 	}
-	s.chunks[digest] = s.recent.PushFront(&held{digest, data})
+	s.chunks[digest] = s.recent.PushFront(&entry{digest, data})
 	s.bytes += int64(len(data))
 	return nil
 }
 
-func (s *Store) makeRoom(need int64) bool {
+func (s *Store) evict(need int64) bool {
 	if s.Limit == 0 || s.bytes+need <= s.Limit {
 		return true
 	}
 	free, victims := s.Limit-s.bytes, []*list.Element{}
 	for e := s.recent.Back(); e != nil && free < need; e = e.Prev() {
-		if h := e.Value.(*held); !s.pinned(h.digest) {
+		if h := e.Value.(*entry); !s.pinned(h.digest) {
 			victims = append(victims, e)
 			free += int64(len(h.data))
 		}
@@ -63,7 +63,7 @@
 		return false
 	}
 	for _, e := range victims {
-		h := s.recent.Remove(e).(*held)
+		h := s.recent.Remove(e).(*entry)
 		delete(s.chunks, h.digest)
 		s.bytes -= int64(len(h.data))
 	}
@@ -79,7 +79,7 @@
 	return false
 }
 
-// Get returns a chunk. The data must not be changed.
+// Get returns a chunk. The caller must not modify the data.
 func (s *Store) Get(digest string) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,11 +88,11 @@
 		return nil, false
 	}
 	s.recent.MoveToFront(e)
-	return e.Value.(*held).data, true
+	return e.Value.(*entry).data, true
 }
 
-// Pin keeps the given chunks, held now or later, from being evicted until
-// Unpin. A second Pin by the same holder replaces the first.
+// Pin protects the given chunks, stored now or later, from eviction until Unpin. A second Pin
+// by the same holder replaces the first.
 func (s *Store) Pin(holder string, digests []string) {
 	set := make(map[string]bool, len(digests))
 	for _, d := range digests {
@@ -106,14 +106,14 @@
 	s.pins[holder] = set
 }
 
-// Unpin ends a Pin.
+// Unpin removes the pins of a holder.
 func (s *Store) Unpin(holder string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pins, holder)
 }
 
-// Bytes returns how much is kept.
+// Bytes returns the total size of the stored chunks.
 func (s *Store) Bytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/weights/strategy.go
+++ b/weights/strategy.go
@@ -8,40 +8,41 @@
 	"github.com/poststand/poststand/rendezvous"
 )
 
-// Member is a box that wants an artifact.
+// Member is a box to which an artifact is assigned.
 type Member struct {
 	Name string
 	Hall string
 	Addr string
 }
 
-// Strategy is who may get what from whom.
+// Strategy defines from which boxes a box may fetch chunks.
 type Strategy struct {
 	Name string
-	// Neighbours returns the boxes that self connects to. A connection serves
-	// both ends.
+	// Neighbours returns the boxes to which self opens connections. Both ends of a connection
+	// use it.
 	Neighbours func(self Member, members []Member) []Member
-	// OrderKey is the rendezvous key of a chunk. The box that is first for it
-	// fetches the chunk from the origin. Nil lets every box use the origin.
+	// OrderKey is the rendezvous key of a chunk. The box that ranks first for the key fetches
+	// the chunk from the origin. If nil, every box may use the origin.
 	OrderKey func(chunk int) string
-	// Balanced gives no box more than its share of the chunks to get first.
+	// Balanced limits the number of chunks for which one box ranks first to its equal share.
 	Balanced bool
 }
 
-// Degrees of the swarm's graph: what a box dials. It is dialled as often.
+// Number of neighbours that a box dials in the swarm. On average it accepts as many
+// connections again.
 const (
 	dialInHall    = 6
 	dialElsewhere = 4
 )
 
-// Swarm is pull from a few neighbours, rarest chunk first, each chunk fetched
-// from the origin by one box of its own.
+// Swarm pulls chunks from a few neighbours, rarest first. For each chunk one box fetches it
+// from the origin.
 var Swarm = Strategy{Name: "swarm", Neighbours: swarmNeighbours, OrderKey: func(chunk int) string { return "chunk/" + strconv.Itoa(chunk) }, Balanced: true}
 
-// Tree is one binary tree over all boxes; only its root uses the origin.
+// Tree arranges all boxes in one binary tree. Only its root uses the origin.
 var Tree = Strategy{Name: "tree", Neighbours: treeParent, OrderKey: func(int) string { return treeKey }}
 
-// Direct has every box fetch everything from the origin.
+// Direct fetches every chunk from the origin on every box.
 var Direct = Strategy{
 	Name:       "direct",
 	Neighbours: func(Member, []Member) []Member { return nil },
--- a/weights/transfer.go
+++ b/weights/transfer.go
@@ -9,40 +9,39 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Transfer brings one artifact to this box and passes it on. Set the exported
-// fields, then Run it. It goes on serving after it is complete, until its
-// context ends.
+// Transfer fetches one artifact to this box and serves it to other boxes. Set the exported
+// fields, then call Run. It continues to serve after completion, until its context ends.
 type Transfer struct {
 	Exchange     *Exchange
-	Artifact     string // Digest of the manifest.
+	Artifact     string // Digest of the manifest, or another name that FetchOrigin accepts.
 	Window       time.Duration
-	OriginCopies float64         // Copies that the origin's link carries in Window.
+	OriginCopies float64         // Copies that the origin's link can carry in Window.
 	SpareCopies  float64         // Copies beyond the first that may leave the origin.
-	Members      func() []Member // The boxes that want the artifact now, this one among them.
-	// StartAt is when the boxes began to want the artifact, so that one that joins or
-	// restarts a little later keeps to the others' schedule. Zero is now.
+	Members      func() []Member // Returns the boxes to which the artifact is assigned, including this one.
+	// StartAt is when the artifact was assigned, so that a box that joins or restarts shortly
+	// afterwards follows the same schedule as the others. Zero means now.
 	StartAt time.Time
-	// Prepare, if set, is called once the manifest is here, so that the caller can
-	// put into the store what it has already. Until it returns, chunks come from
-	// other boxes only, and the origin is left alone.
+	// Prepare, if set, is called once the manifest is available, so that the caller can put
+	// chunks that it already has into the store. Until it returns, chunks are fetched from
+	// other boxes only, not from the origin.
 	Prepare func(ctx context.Context, m *Manifest)
 
 	once     sync.Once
 	complete chan struct{}
-	begun    chan struct{} // Closed when the manifest is here.
+	ready    chan struct{} // Closed when the manifest is available.
 
 	mu             sync.Mutex
-	plan           *Plan // Nil until the manifest is here.
+	plan           *Plan // Nil until the manifest is available.
 	manifest       *Manifest
 	chunks         []Chunk
 	missingAtFirst int
-	firstAt        time.Time // When the first chunk came; zero before.
-	wholeAt        time.Time // When the last one did.
-	yields         bool
-	few            bool
+	firstChunkAt   time.Time // When the first chunk arrived; zero before.
+	completedAt    time.Time // When the last chunk arrived; zero before.
+	yieldOrigin    bool
+	singleFetch    bool
 	sessions       map[string]*session
 	cancels        map[fetchKey]context.CancelFunc
-	poke           chan struct{} // Something happened; a ring of one, since one look finds all.
+	wake           chan struct{} // Signals an event to the loop. Capacity 1 suffices, as one step handles all events.
 }
 
 type fetchKey struct {
@@ -50,36 +49,36 @@
 	from  string
 }
 
-// session is a neighbour that tells what it has.
+// session is an open session with a neighbour.
 type session struct {
 	peer   Member
 	conn   *wire.Conn
 	unsent []int
-	news   Gossip // Not told yet.
+	gossip Gossip // Not sent yet.
 	wake   chan struct{}
 }
 
 func (t *Transfer) init() {
 	t.once.Do(func() {
 		t.complete = make(chan struct{})
-		t.begun = make(chan struct{})
-		t.poke = make(chan struct{}, 1)
+		t.ready = make(chan struct{})
+		t.wake = make(chan struct{}, 1)
 		t.sessions = map[string]*session{}
 		t.cancels = map[fetchKey]context.CancelFunc{}
 	})
 }
 
-// Run fetches until complete and serves until ctx ends.
+// Run fetches the artifact and serves it until ctx ends.
 func (t *Transfer) Run(ctx context.Context) error {
 	t.init()
 	x := t.Exchange
 	x.addTransfer(t)
-	defer x.dropTransfer(t)
+	defer x.removeTransfer(t)
 	data, err := t.getManifest(ctx)
 	if err != nil {
 		return err
 	}
-	if err := t.begin(data); err != nil {
+	if err := t.start(data); err != nil {
 		return err
 	}
 	var wg sync.WaitGroup
@@ -87,19 +86,19 @@
 	if t.Prepare != nil {
 		wg.Go(func() {
 			t.Prepare(ctx, t.Manifest())
-			t.prepared()
+			t.endPrepare()
 		})
 	}
 	wg.Go(func() { t.keepNeighbours(ctx) })
-	if !t.justNamed(time.Now()) {
-		t.settleIn(ctx)
+	if !t.justStarted(time.Now()) {
+		t.awaitNeighbours(ctx)
 	}
 	t.loop(ctx, &wg)
 	return nil
 }
 
-// prepared takes what Prepare has put into the store, and lets the origin be used.
-func (t *Transfer) prepared() {
+// endPrepare marks the chunks that Prepare has stored as held, and allows use of the origin.
+func (t *Transfer) endPrepare() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.plan.Complete()
@@ -111,34 +110,35 @@
 	}
 	t.plan.HoldOrigin = false
 	if !before && t.plan.Complete() {
-		t.whole()
+		t.markComplete()
 	}
-	t.happened()
+	t.notify()
 }
 
-// justNamed reports whether no other box can have had the artifact for long.
-func (t *Transfer) justNamed(now time.Time) bool {
-	const ago = time.Second
-	return !t.StartAt.IsZero() && now.Sub(t.StartAt) < ago
+// justStarted reports whether the artifact was assigned so recently that no other box can have
+// had chunks for long.
+func (t *Transfer) justStarted(now time.Time) bool {
+	const recent = time.Second
+	return !t.StartAt.IsZero() && now.Sub(t.StartAt) < recent
 }
 
-// whole records that every chunk is here. The caller holds t.mu.
-func (t *Transfer) whole() {
-	t.wholeAt = time.Now()
+// markComplete records completion. The caller holds t.mu.
+func (t *Transfer) markComplete() {
+	t.completedAt = time.Now()
 	close(t.complete)
 }
 
-// settleIn gives neighbours a moment to tell what they have, so that a box that
-// joins late does not go to the origin for what they hold.
-func (t *Transfer) settleIn(ctx context.Context) {
+// awaitNeighbours waits briefly for the Join messages of neighbours, so that a box that joins
+// late does not fetch chunks from the origin that its neighbours have.
+func (t *Transfer) awaitNeighbours(ctx context.Context) {
 	const least, most, chunks = 60 * time.Millisecond, 200 * time.Millisecond, 3
-	moment := max(least, min(most, chunks*t.plan.ChunkTime))
-	wait, cancel := context.WithTimeout(ctx, moment)
+	timeout := max(least, min(most, chunks*t.plan.ChunkTime))
+	wait, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	<-wait.Done()
 }
 
-func (t *Transfer) begin(data []byte) error {
+func (t *Transfer) start(data []byte) error {
 	m, err := ParseManifest(data, t.Artifact)
 	if err != nil {
 		return err
@@ -155,46 +155,47 @@
 		}
 	}
 	p := &Plan{
-		Self: t.Exchange.Self.Name, Strategy: t.Exchange.Strategy, Chunks: len(chunks), StartAt: t.since(time.Now()),
+		Self: t.Exchange.Self.Name, Strategy: t.Exchange.Strategy, Chunks: len(chunks), StartAt: t.startTime(time.Now()),
 		Parallel: t.Exchange.Parallel, AdaptiveParallel: t.Exchange.AdaptiveParallel, OriginParallel: t.Exchange.OriginParallel,
 		OriginCopyTime: time.Duration(float64(t.Window) / t.OriginCopies), SpareCopies: t.SpareCopies,
 		ChunkTime: t.Window / 2 / time.Duration(max(1, len(chunks))), HoldOrigin: t.Prepare != nil,
 		Seq:     uint64(time.Now().UnixMicro()),
-		Stagger: staggerFlushes*orDefault(t.Exchange.FlushInterval, defaultFlush) + staggerMore,
+		Stagger: staggerFlushes*orDefault(t.Exchange.FlushInterval, defaultFlush) + staggerMargin,
 	}
 	members := t.Members()
 	if t.Exchange.PreferHall {
-		p.HallMembers = t.near(members)
+		p.HallMembers = t.hallMembers(members)
 	}
 	p.Init(have, memberNames(members))
-	p.parallel = t.Exchange.openFetches() // The link is the same.
+	p.currentParallel = t.Exchange.openFetches() // All transfers share the link.
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.plan, t.manifest, t.chunks, t.missingAtFirst = p, m, chunks, p.Missing()
-	p.YieldOrigin, p.SingleFetch = t.yields, t.few
-	close(t.begun)
+	p.YieldOrigin, p.SingleFetch = t.yieldOrigin, t.singleFetch
+	close(t.ready)
 	if p.Complete() {
-		t.whole()
+		t.markComplete()
 	}
 	return nil
 }
 
-// A claim is at all boxes after three or four flushes, and a little more for the way.
+// A claim reaches all boxes after three or four flushes, and network latency adds a margin.
 const (
 	staggerFlushes = 4
-	staggerMore    = 50 * time.Millisecond
+	staggerMargin  = 50 * time.Millisecond
 )
 
-// since is when the plan begins: with the others, if that was not long ago.
-func (t *Transfer) since(now time.Time) time.Time {
+// startTime returns the start of the plan's schedule: StartAt, unless that is longer ago than
+// Window.
+func (t *Transfer) startTime(now time.Time) time.Time {
 	if t.StartAt.IsZero() || now.Sub(t.StartAt) > t.Window {
 		return now
 	}
 	return t.StartAt
 }
 
-// near returns the names of the members in this box's hall.
-func (t *Transfer) near(members []Member) []string {
+// hallMembers returns the names of the members in this box's hall.
+func (t *Transfer) hallMembers(members []Member) []string {
 	out := []string{}
 	for _, m := range members {
 		if m.Hall == t.Exchange.Self.Hall {
@@ -212,7 +213,8 @@
 	return out
 }
 
-// loop acts on the plan whenever something happened or its time has come.
+// loop starts the fetches of the plan whenever an event occurs or the wake-up time of the plan
+// has come.
 func (t *Transfer) loop(ctx context.Context, wg *sync.WaitGroup) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -220,28 +222,28 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.poke:
+		case <-t.wake:
 		case <-timer.C:
 		}
 		t.mu.Lock()
 		todo, wake := t.plan.Next(time.Now())
-		t.tellNews("")
+		t.spreadGossip("")
 		t.mu.Unlock()
 		timer.Reset(time.Until(wake))
 		for _, a := range todo {
-			wg.Go(func() { t.act(ctx, a) })
+			wg.Go(func() { t.runFetch(ctx, a) })
 		}
 	}
 }
 
-func (t *Transfer) happened() {
+func (t *Transfer) notify() {
 	select {
-	case t.poke <- struct{}{}:
+	case t.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (t *Transfer) act(ctx context.Context, a Action) {
+func (t *Transfer) runFetch(ctx context.Context, a Action) {
 	key := fetchKey{a.Chunk, a.From}
 	fctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -254,7 +256,7 @@
 	if err == nil {
 		err = t.Exchange.Store.Put(c.Digest, data)
 	}
-	t.finish(a, kind, len(data), err)
+	t.endFetch(a, kind, len(data), err)
 }
 
 func (t *Transfer) fetch(ctx context.Context, a Action, c Chunk, s *session) (EventKind, []byte, error) {
@@ -273,8 +275,8 @@
 	return kind, data, err
 }
 
-// receive fetches a chunk from a neighbour, and has the plan learn from how long its
-// parts took: while they still come, if that is long.
+// receive fetches a chunk from a neighbour and reports the transfer time to the plan: at the
+// end, or as soon as the transfer counts as slow.
 func (t *Transfer) receive(ctx context.Context, s *session, c Chunk) ([]byte, error) {
 	var slow sync.Once
 	learn := func(took time.Duration) {
@@ -284,10 +286,10 @@
 			t.plan.ObserveTransferTime(took)
 		})
 	}
-	first, next := t.patience()
+	first, next := t.partTimeouts()
 	after := t.plan.slowAfter()
-	data, took, err := getFrom(ctx, s.conn, c.Digest, c.Size, receiving{
-		first: first, next: next, slowAfter: after, slow: func() { learn(after + 1) },
+	data, took, err := fetchFromPeer(ctx, s.conn, c.Digest, c.Size, receiveOptions{
+		firstTimeout: first, nextTimeout: next, slowAfter: after, onSlow: func() { learn(after + 1) },
 	})
 	if err == nil {
 		learn(took)
@@ -295,37 +297,37 @@
 	return data, err
 }
 
-// patience is how long a fetch waits for its first part, with the queue at the
-// other end in mind, and for each further one.
-func (t *Transfer) patience() (first, next time.Duration) {
+// partTimeouts returns the time to wait for the first part of a chunk, which includes the
+// queue at the sender, and for each further part.
+func (t *Transfer) partTimeouts() (first, next time.Duration) {
 	const firstChunks, nextChunks, least = 16, 4, 2 * time.Second
 	per := t.plan.ChunkTime
 	return max(least, firstChunks*per), max(least, nextChunks*per)
 }
 
-func (t *Transfer) finish(a Action, kind EventKind, size int, err error) {
+func (t *Transfer) endFetch(a Action, kind EventKind, size int, err error) {
 	code := fault.CodeOf(err)
-	t.count(kind, size, code)
+	t.countFetch(kind, size, code)
 	t.mu.Lock()
 	delete(t.cancels, fetchKey{a.Chunk, a.From})
 	before := t.plan.Complete()
 	had := t.plan.Have().Has(a.Chunk)
 	t.plan.FetchEnded(time.Now(), a.Chunk, a.From, code)
-	t.tellNews("")
+	t.spreadGossip("")
 	if code == "" && !had {
 		t.announce(a.Chunk)
-		if t.firstAt.IsZero() {
-			t.firstAt = time.Now()
+		if t.firstChunkAt.IsZero() {
+			t.firstChunkAt = time.Now()
 		}
 	}
 	if !before && t.plan.Complete() {
-		t.whole()
+		t.markComplete()
 	}
 	t.mu.Unlock()
-	t.happened()
+	t.notify()
 }
 
-func (t *Transfer) count(kind EventKind, size int, code fault.Code) {
+func (t *Transfer) countFetch(kind EventKind, size int, code fault.Code) {
 	x := t.Exchange
 	switch code {
 	case "":
@@ -341,9 +343,9 @@
 	}
 }
 
-// tellNews has every neighbour told what this box has learnt, but for the one it was
-// learnt from. The caller holds t.mu.
-func (t *Transfer) tellNews(from string) {
+// spreadGossip queues new gossip for every neighbour except the one from which it was
+// received. The caller holds t.mu.
+func (t *Transfer) spreadGossip(from string) {
 	for range t.plan.TakeTakeovers() {
 		t.Exchange.event(EventTakeover, 0)
 	}
@@ -358,26 +360,26 @@
 	}
 	for name, s := range t.sessions {
 		if name != from {
-			s.news.add(n)
-			s.wakeUp()
+			s.gossip.merge(n)
+			s.notify()
 		}
 	}
 }
 
-// wakeUp has the session told what is unsent.
-func (s *session) wakeUp() {
+// notify wakes the sender of the session.
+func (s *session) notify() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// announce queues a chunk for every neighbour and cancels other fetches of it.
-// The caller holds t.mu.
+// announce queues a chunk for every neighbour and cancels other fetches of the chunk. The
+// caller holds t.mu.
 func (t *Transfer) announce(chunk int) {
 	for _, s := range t.sessions {
 		s.unsent = append(s.unsent, chunk)
-		s.wakeUp()
+		s.notify()
 	}
 	for _, from := range t.plan.FetchSources(chunk) {
 		if cancel := t.cancels[fetchKey{chunk, from}]; cancel != nil {
--- a/weights/weights_test.go
+++ b/weights/weights_test.go
@@ -10,10 +10,10 @@
 	"github.com/poststand/poststand/fault"
 )
 
-const quick = 60 * time.Second
+const testWindow = 60 * time.Second
 
 func small(boxes int) burst {
-	return burst{boxes: boxes, chunks: 32, policy: "origin-bytes", strategy: Swarm, window: quick, seed: 1, pinned: true}
+	return burst{boxes: boxes, chunks: 32, policy: "origin-bytes", strategy: Swarm, window: testWindow, seed: 1, haveManifest: true}
 }
 
 func TestStoreKeepsNothingCorruptAndNothingOverItsLimit(t *testing.T) {
@@ -23,9 +23,9 @@
 	is.NoErr(s.Put(Digest([]byte("aaaa")), []byte("aaaa")))
 	is.NoErr(s.Put(Digest([]byte("bbbb")), []byte("bbbb")))
 	s.Pin("engine", []string{Digest([]byte("aaaa"))})
-	is.NoErr(s.Put(Digest([]byte("cccc")), []byte("cccc"))) // Makes room.
+	is.NoErr(s.Put(Digest([]byte("cccc")), []byte("cccc"))) // Evicts an unpinned chunk.
 	_, ok := s.Get(Digest([]byte("aaaa")))
-	is.True(ok) // What is pinned stays, though it was used least recently.
+	is.True(ok) // Pinned, so kept although it is the least recently used.
 	_, ok = s.Get(Digest([]byte("bbbb")))
 	is.True(!ok)
 	s.Pin("next", []string{Digest([]byte("cccc"))})
@@ -44,9 +44,9 @@
 	is.Equal(fault.CodeOf(err), fault.Corrupt)
 }
 
-// All boxes get the model from one copy that leaves the origin, well within
-// the aims, and so they do with 10% of boxes dying, 1% of chunks corrupt and 5%
-// of links stalling. Virtual time makes the ratios exact.
+// All boxes receive the model from about one copy that leaves the origin, within the bounds on
+// time, also if 10% of boxes fail, 1% of chunks are corrupt and 5% of links stall. Virtual
+// time makes the ratios exact.
 func TestOriginBytesStayBounded(t *testing.T) {
 	cases := []struct {
 		name          string
@@ -60,34 +60,34 @@
 		t.Run(tc.name, func(t *testing.T) {
 			b := small(24)
 			b.faults = tc.faults
-			f := b.run(t, 4*quick)
+			f := b.run(t, 4*testWindow)
 			t.Logf("ratio=%.2f copies=%.2f dead=%d", f.ratio(1), f.origin, f.dead)
 			if f.ratio(1) > tc.ratio || f.origin > tc.copies {
-				t.Fatalf("promise was broken: ratio %.2f, copies %.2f", f.ratio(1), f.origin)
+				t.Fatalf("bound exceeded: ratio %.2f, copies %.2f", f.ratio(1), f.origin)
 			}
 		})
 	}
 }
 
-// The manifest goes from box to box as well, with the real path.
+// The manifest spreads from box to box as well, over the real code path.
 func TestManifestSpreads(t *testing.T) {
 	b := small(24)
-	b.pinned = false
-	f := b.run(t, 4*quick)
+	b.haveManifest = false
+	f := b.run(t, 4*testWindow)
 	if f.ratio(1) > 4 || f.origin > 1.1 {
-		t.Fatalf("promise was broken: ratio %.2f, copies %.2f", f.ratio(1), f.origin)
+		t.Fatalf("bound exceeded: ratio %.2f, copies %.2f", f.ratio(1), f.origin)
 	}
 }
 
-// A manifest comes from neighbours, and soon, though the first boxes in its order
-// have gone: it is not waited for them one after the other.
+// A manifest spreads quickly from neighbours although the first boxes in its ranking have
+// failed: boxes do not wait for them one after another.
 func TestManifestSpreadsPastBoxesThatHaveGone(t *testing.T) {
 	is := is.New(t)
 	b := small(24)
-	b.pinned, b.chunks = false, 8
+	b.haveManifest, b.chunks = false, 8
 	b.hook = func(s *sim) {
 		s.mu.Lock()
-		for i := range 24 { // Listed still, and not there.
+		for i := range 24 { // Still listed, but failed.
 			s.members = append(s.members, s.member(fmt.Sprintf("gone-%03d", i)))
 		}
 		s.mu.Unlock()
@@ -97,20 +97,21 @@
 			is.True(ok)
 		}
 	}
-	b.run(t, 3*quick)
+	b.run(t, 3*testWindow)
 }
 
-// All boxes have a manifest soon after those that are to ask the origin for it have heard
-// of the version, though they heard last and the others wait for one another.
+// All boxes have a manifest soon after the first boxes in its ranking, which ask the origin
+// for it, are told of the version, even if those are told last and the others wait for one
+// another.
 func TestManifestComesDownFromTheFirst(t *testing.T) {
 	const late = 120 * time.Millisecond
 	for _, boxes := range []int{10, 20, 40} {
 		is := is.New(t)
 		b := small(boxes)
-		b.window = 2 * time.Second // A manifest crosses a link in 9 ms.
-		b.pinned, b.chunks = false, 8
+		b.window = 2 * time.Second // A manifest takes 9 ms on a link.
+		b.haveManifest, b.chunks = false, 8
 		b.startAt = func(s *sim, name string) time.Duration {
-			for _, m := range rank("manifest/"+Digest(s.manifest), s.members)[:manifestFirst] {
+			for _, m := range rank("manifest/"+Digest(s.manifest), s.members)[:manifestSeeders] {
 				if m.Name == name {
 					return late
 				}
@@ -127,13 +128,13 @@
 			}
 			is.Equal(have, boxes)
 		}
-		b.run(t, 3*quick)
+		b.run(t, 3*testWindow)
 	}
 }
 
-// Every fault alone must end with every living box whole.
+// With any single fault, every live box completes.
 func TestFaultsAlone(t *testing.T) {
-	half := quick / 4
+	half := testWindow / 4
 	cases := []struct {
 		name   string
 		boxes  int
@@ -154,7 +155,7 @@
 					s.net.Stall(s.name(5), s.name(i), true)
 				}
 			}
-			time.Sleep(2 * quick)
+			time.Sleep(2 * testWindow)
 			for i := range 24 {
 				if i != 5 {
 					s.net.Stall(s.name(5), s.name(i), false)
@@ -164,7 +165,7 @@
 		{"the origin goes down for a while", 24, 1.2, func(s *sim) {
 			time.Sleep(3 * time.Second)
 			s.setOrigin(func() { s.originDown = true })
-			time.Sleep(quick / 2)
+			time.Sleep(testWindow / 2)
 			s.setOrigin(func() { s.originDown = false })
 		}},
 		{"a hall is cut from the origin", 24, 1.2, func(s *sim) { s.setOrigin(func() { s.originCut["hall-0"] = true }) }},
@@ -172,12 +173,12 @@
 		{"a hall is cut from all and healed", 24, 1.6, func(s *sim) {
 			s.setOrigin(func() { s.originCut["hall-0"] = true })
 			s.cutHall("hall-0", true)
-			time.Sleep(quick)
+			time.Sleep(testWindow)
 			s.setOrigin(func() { s.originCut["hall-0"] = false })
 			s.cutHall("hall-0", false)
 		}},
 		{"boxes join late", 16, 1.2, func(s *sim) {
-			time.Sleep(quick)
+			time.Sleep(testWindow)
 			for i := range 4 {
 				s.join(s.name(100 + i))
 			}
@@ -185,7 +186,7 @@
 		{"a box is paused past its sessions and woken", 24, 1.3, func(s *sim) {
 			time.Sleep(4 * time.Second)
 			s.pause(s.name(2), true)
-			time.Sleep(quick)
+			time.Sleep(testWindow)
 			s.pause(s.name(2), false)
 		}},
 	}
@@ -193,28 +194,28 @@
 		t.Run(tc.name, func(t *testing.T) {
 			b := small(tc.boxes)
 			b.hook = tc.hook
-			f := b.run(t, 8*quick)
+			f := b.run(t, 8*testWindow)
 			t.Logf("ratio=%.2f copies=%.2f", f.ratio(1), f.origin)
-			if f.ready[len(f.ready)-1] >= 8*quick || f.origin > tc.copies {
-				t.Fatalf("promise was broken: last ready after %v, copies %.2f", f.ready[len(f.ready)-1], f.origin)
+			if f.ready[len(f.ready)-1] >= 8*testWindow || f.origin > tc.copies {
+				t.Fatalf("bound exceeded: last ready after %v, copies %.2f", f.ready[len(f.ready)-1], f.origin)
 			}
 		})
 	}
 }
 
-// A peer that corrupts all that it sends is left out after a few chunks: what it
-// wastes stays small.
+// A peer that corrupts everything it sends is excluded after a few chunks, which bounds the
+// wasted transfers.
 func TestCorruptingPeerIsLeftOut(t *testing.T) {
 	b := small(12)
 	b.hook = func(s *sim) { s.setOrigin(func() { s.corrupter[s.name(1)] = true }) }
-	f := b.run(t, 8*quick)
-	if f.events[EventCorrupt] == 0 || f.events[EventCorrupt] > 40 || f.ready[len(f.ready)-1] >= 8*quick {
-		t.Fatalf("promise was broken: %d corrupt chunks, last ready after %v", f.events[EventCorrupt], f.ready[len(f.ready)-1])
+	f := b.run(t, 8*testWindow)
+	if f.events[EventCorrupt] == 0 || f.events[EventCorrupt] > 40 || f.ready[len(f.ready)-1] >= 8*testWindow {
+		t.Fatalf("bound exceeded: %d corrupt chunks, last ready after %v", f.events[EventCorrupt], f.ready[len(f.ready)-1])
 	}
 }
 
-// Chunks that two versions share are fetched once, and a version that is still
-// in the store needs no fetch at all.
+// Chunks shared by two versions are fetched once, and a version whose chunks are all in the
+// store needs no fetch.
 func TestSharedChunksAreNotFetchedAgain(t *testing.T) {
 	is := is.New(t)
 	s := &Store{}
@@ -226,12 +227,12 @@
 	x := &Exchange{Self: Member{Name: "a"}, Store: s, Strategy: Swarm}
 	tr := &Transfer{Exchange: x, Artifact: Digest(b), Window: time.Minute, OriginCopies: 4, Members: func() []Member { return []Member{{Name: "a"}} }}
 	tr.init()
-	is.NoErr(tr.begin(b))
+	is.NoErr(tr.start(b))
 	<-tr.Complete()
 }
 
-// A box whose memory is too small says so and leaves its peers alone: it does not
-// fetch the same chunks again and again, nor blame those who sent them.
+// A box whose store is full waits: it does not fetch the same chunks repeatedly, and does not
+// count the failure against its peers.
 func TestFullStoreIsNotThePeersFault(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 12, 2, 18, 0, 0, 0, time.UTC)
@@ -249,34 +250,35 @@
 	is.Equal(len(todo), 0)
 	is.True(wake.After(now.Add(time.Second)))
 	todo, _ = p.Next(wake)
-	is.Equal(len(todo), 1) // Room may have been made.
+	is.Equal(len(todo), 1) // The store may have room again.
 	is.Equal(todo[0].From, "b")
 }
 
-// Small chunks over slow links, as where replicas share their boxes' links.
-func sharing(boxes int) burst {
+// sharedLinkBurst returns a burst with small chunks over slow links, as where replicas share
+// their boxes' links.
+func sharedLinkBurst(boxes int) burst {
 	return burst{
 		boxes: boxes, chunks: 96, policy: "origin-bytes", strategy: Swarm, window: 5200 * time.Millisecond, seed: 1,
-		pinned: true, sharing: true,
+		haveManifest: true, sharedLinks: true,
 	}
 }
 
 // About one copy crosses into each of the three halls.
 func TestOneCopyCrossesIntoEachHall(t *testing.T) {
 	is := is.New(t)
-	f := sharing(20).run(t, time.Minute)
+	f := sharedLinkBurst(20).run(t, time.Minute)
 	t.Logf("ratio=%.2f copies=%.2f across=%d of 96", f.ratio(1), f.origin, f.events[EventPeerAcross])
 	is.True(f.ratio(1) < 2)
 	is.True(f.origin < 1.05)
 	is.True(f.events[EventPeerAcross] < 96*2*13/10)
 }
 
-// An origin that is away for longer than boxes wait for one another does not send
-// more copies for it: a box that has merely queued a chunk still looks after it.
+// An outage of the origin that is longer than the waits for other boxes does not multiply the
+// copies that leave it: a box that has queued a chunk remains responsible for it.
 func TestOriginAwayDoesNotMultiplyCopies(t *testing.T) {
 	is := is.New(t)
 	const away = 7 * time.Second
-	b := sharing(20)
+	b := sharedLinkBurst(20)
 	b.hook = func(s *sim) {
 		time.Sleep(300 * time.Millisecond)
 		s.setOrigin(func() { s.originDown = true })
