--- a/internal/way/box.go
+++ b/internal/way/box.go
@@ -10,31 +10,31 @@
 )
 
 type box struct {
-	w         *world
-	i         int
-	member    weights.Member
-	plan      *weights.Plan
-	peers     []*peer // By the neighbour's index; nil where there is no session.
-	waiting   []upload
-	uploading bool
-	downFree  time.Duration
-	wakeAt    time.Duration
-	lost      bool
-	whole     time.Duration // Zero while it is not.
-	open      map[fetch]bool
+	sim            *simulation
+	index          int
+	member         weights.Member
+	plan           *weights.Plan
+	peers          []*peer // By index of the neighbour; nil where there is no session.
+	waiting        []upload
+	uploading      bool
+	downlinkFreeAt time.Duration
+	wakeAt         time.Duration
+	lost           bool
+	completedAt    time.Duration // Zero while incomplete.
+	pending        map[fetch]bool
 }
 
 // peer is one direction of a session.
 type peer struct {
-	unsent  []int
-	news    weights.Gossip
-	nextAt  time.Duration // No message before it.
-	planned bool
+	unsent    []int
+	gossip    weights.Gossip
+	sendAfter time.Duration // The next message is sent no earlier.
+	scheduled bool
 }
 
 type fetch struct {
 	chunk int
-	from  int // -1 is the origin.
+	from  int // Index of a box; -1 is the origin.
 }
 
 type upload struct {
@@ -42,15 +42,15 @@
 	chunk int
 }
 
-func (b *box) begin(members []weights.Member) {
-	w := b.w
+func (b *box) start(members []weights.Member) {
+	sim := b.sim
 	if b.lost {
 		return
 	}
-	copyIn := time.Duration(w.copyBytes() / w.OriginRate * float64(time.Second))
+	copyTime := time.Duration(sim.copyBytes() / sim.OriginRate * float64(time.Second))
 	b.plan = &weights.Plan{
-		Self: b.member.Name, Strategy: weights.Swarm, Chunks: w.Chunks, StartAt: epoch, OriginCopyTime: copyIn, ChunkTime: copyIn / time.Duration(w.Chunks),
-		Rand: rand.New(rand.NewPCG(w.Seed, uint64(b.i)+3)), Parallel: parallel, OriginParallel: atOrigin, AdaptiveParallel: true, Stagger: stagger,
+		Self: b.member.Name, Strategy: weights.Swarm, Chunks: sim.Chunks, StartAt: epoch, OriginCopyTime: copyTime, ChunkTime: copyTime / time.Duration(sim.Chunks),
+		Rand: rand.New(rand.NewPCG(sim.Seed, uint64(b.index)+3)), Parallel: parallel, OriginParallel: atOrigin, AdaptiveParallel: true, Stagger: stagger,
 	}
 	var names []string
 	for _, m := range members {
@@ -62,128 +62,129 @@
 	b.plan.Init(nil, names)
 	for _, m := range weights.Swarm.Neighbours(b.member, members) {
 		i := slices.IndexFunc(members, func(o weights.Member) bool { return o.Name == m.Name })
-		b.dial(w.boxes[i])
+		b.dial(sim.boxes[i])
 	}
-	for _, o := range w.boxes { // Those that dialled it before it began.
+	for _, o := range sim.boxes { // Boxes that dialled this one before it started.
 		if o.plan != nil && slices.ContainsFunc(weights.Swarm.Neighbours(o.member, members), func(m weights.Member) bool { return m.Name == b.member.Name }) {
 			b.dial(o)
 		}
 	}
-	b.look()
+	b.step()
 }
 
-// dial opens a session with another box that has begun.
+// dial opens a session with another box that has started.
 func (b *box) dial(o *box) {
-	if o == b || o.plan == nil || !b.w.reach(b, o) || b.peers[o.i] != nil {
+	if o == b || o.plan == nil || !b.sim.reachable(b, o) || b.peers[o.index] != nil {
 		return
 	}
 	for _, s := range [][2]*box{{b, o}, {o, b}} {
 		from, to := s[0], s[1]
-		p := &peer{news: from.plan.GossipSnapshot(from.w.clock())}
-		from.peers[to.i] = p
-		for i := range from.w.Chunks {
+		p := &peer{gossip: from.plan.GossipSnapshot(from.sim.clock())}
+		from.peers[to.index] = p
+		for i := range from.sim.Chunks {
 			if from.plan.Have().Has(i) {
 				p.unsent = append(p.unsent, i)
 			}
 		}
-		from.send(to, p)
+		from.scheduleSend(to, p)
 	}
 }
 
-// look acts on the box's planner.
-func (b *box) look() {
+// step starts the fetches that the planner returns.
+func (b *box) step() {
 	if b.lost || b.plan == nil {
 		return
 	}
-	w := b.w
-	todo, wake := b.plan.Next(w.clock())
+	sim := b.sim
+	todo, wake := b.plan.Next(sim.clock())
 	for _, a := range todo {
 		b.fetch(a)
 	}
-	b.tell(-1)
+	b.spreadGossip(-1)
 	at := wake.Sub(epoch)
-	if b.wakeAt <= w.now || at < b.wakeAt {
-		b.wakeAt = max(at, w.now+time.Microsecond)
-		w.after(b.wakeAt-w.now, b.look)
+	if b.wakeAt <= sim.now || at < b.wakeAt {
+		b.wakeAt = max(at, sim.now+time.Microsecond)
+		sim.after(b.wakeAt-sim.now, b.step)
 	}
 }
 
-// tell passes on what the planner has learnt.
-func (b *box) tell(but int) {
+// spreadGossip queues new gossip of the planner for all neighbours except one, and cancels
+// fetches left to other boxes.
+func (b *box) spreadGossip(except int) {
 	for _, c := range b.plan.TakeYielded() {
-		b.w.cancel(b, c)
+		b.sim.cancel(b, c)
 	}
 	n := b.plan.TakeGossip()
 	if n.Empty() {
 		return
 	}
 	for i, p := range b.peers {
-		if p == nil || i == but {
+		if p == nil || i == except {
 			continue
 		}
-		p.news.Seeded = append(p.news.Seeded, n.Seeded...)
-		p.news.Claims = append(p.news.Claims, n.Claims...)
-		b.send(b.w.boxes[i], p)
+		p.gossip.Seeded = append(p.gossip.Seeded, n.Seeded...)
+		p.gossip.Claims = append(p.gossip.Claims, n.Claims...)
+		b.scheduleSend(b.sim.boxes[i], p)
 	}
 }
 
-// send plans the next message to a neighbour.
-func (b *box) send(to *box, p *peer) {
-	if p.planned {
+// scheduleSend schedules the next message to a neighbour.
+func (b *box) scheduleSend(to *box, p *peer) {
+	if p.scheduled {
 		return
 	}
-	p.planned = true
-	w := b.w
-	w.after(p.nextAt-w.now, func() {
-		p.planned, p.nextAt = false, w.now+flush
-		chunks, news, queue := p.unsent, p.news, len(b.waiting)
-		p.unsent, p.news = nil, weights.Gossip{}
-		if b.lost || !w.reach(b, to) {
+	p.scheduled = true
+	sim := b.sim
+	sim.after(p.sendAfter-sim.now, func() {
+		p.scheduled, p.sendAfter = false, sim.now+flush
+		chunks, gossip, queue := p.unsent, p.gossip, len(b.waiting)
+		p.unsent, p.gossip = nil, weights.Gossip{}
+		if b.lost || !sim.reachable(b, to) {
 			return
 		}
-		w.after(w.latency(b, to), func() { to.hear(b, chunks, news, queue) })
+		sim.after(sim.latency(b, to), func() { to.receiveGossip(b, chunks, gossip, queue) })
 	})
 }
 
-func (b *box) hear(from *box, chunks []int, news weights.Gossip, queue int) {
-	if b.lost || b.peers[from.i] == nil {
+func (b *box) receiveGossip(from *box, chunks []int, gossip weights.Gossip, queue int) {
+	if b.lost || b.peers[from.index] == nil {
 		return
 	}
-	has := weights.NewBitmap(b.w.Chunks)
+	has := weights.NewBitmap(b.sim.Chunks)
 	for _, c := range chunks {
 		has.Set(c)
 	}
-	b.plan.PeerHas(b.w.clock(), from.member.Name, has, queue)
-	b.plan.ApplyGossip(b.w.clock(), news)
-	b.tell(from.i)
-	b.look()
+	b.plan.PeerHas(b.sim.clock(), from.member.Name, has, queue)
+	b.plan.ApplyGossip(b.sim.clock(), gossip)
+	b.spreadGossip(from.index)
+	b.step()
 }
 
 func (b *box) fetch(a weights.Action) {
-	w := b.w
+	sim := b.sim
 	if a.From == weights.Origin {
-		b.open[fetch{a.Chunk, -1}] = true
-		w.after(w.originLatency(b), func() { w.serve(b, a.Chunk) })
+		b.pending[fetch{a.Chunk, -1}] = true
+		sim.after(sim.originLatency(b), func() { sim.serve(b, a.Chunk) })
 		return
 	}
-	i := slices.IndexFunc(w.boxes, func(o *box) bool { return o.member.Name == a.From })
-	o := w.boxes[i]
-	b.open[fetch{a.Chunk, i}] = true
-	if !w.reach(b, o) {
-		w.after(noticeIn, func() { b.fetched(a.Chunk, i, fault.Stalled) })
+	i := slices.IndexFunc(sim.boxes, func(o *box) bool { return o.member.Name == a.From })
+	o := sim.boxes[i]
+	b.pending[fetch{a.Chunk, i}] = true
+	if !sim.reachable(b, o) {
+		sim.after(detectionDelay, func() { b.fetchEnded(a.Chunk, i, fault.Stalled) })
 		return
 	}
-	w.after(w.latency(b, o), func() { o.serve(upload{b, a.Chunk}) })
+	sim.after(sim.latency(b, o), func() { o.handleRequest(upload{b, a.Chunk}) })
 }
 
-// serve takes a request for a chunk, unless too many wait.
-func (b *box) serve(u upload) {
+// handleRequest queues a request for a chunk, or refuses it if too many are waiting.
+func (b *box) handleRequest(u upload) {
 	if b.lost {
-		b.w.after(noticeIn, func() { u.to.fetched(u.chunk, b.i, fault.Stalled) })
+		b.sim.after(detectionDelay, func() { u.to.fetchEnded(u.chunk, b.index, fault.Stalled) })
 		return
 	}
 	if len(b.waiting) >= uploadQueue {
-		b.w.after(b.w.latency(b, u.to), func() { u.to.fetched(u.chunk, b.i, fault.Busy) })
+		b.sim.after(b.sim.latency(b, u.to), func() { u.to.fetchEnded(u.chunk, b.index, fault.Busy) })
 		return
 	}
 	b.waiting = append(b.waiting, u)
@@ -194,75 +195,75 @@
 	if b.uploading || len(b.waiting) == 0 || b.lost {
 		return
 	}
-	w := b.w
+	sim := b.sim
 	u := b.waiting[0]
 	b.waiting = b.waiting[1:]
 	b.uploading = true
-	took := w.onLink(b, linkShare)
-	w.after(took, func() {
+	took := sim.onLink(b, linkShare)
+	sim.after(took, func() {
 		b.uploading = false
-		if b.lost || !w.reach(b, u.to) {
-			w.after(noticeIn, func() { u.to.fetched(u.chunk, b.i, fault.Stalled) })
+		if b.lost || !sim.reachable(b, u.to) {
+			sim.after(detectionDelay, func() { u.to.fetchEnded(u.chunk, b.index, fault.Stalled) })
 		} else {
-			u.to.receive(u.chunk, b.i, took, w.latency(b, u.to))
+			u.to.receive(u.chunk, b.index, took, sim.latency(b, u.to))
 		}
 		b.upload()
 	})
 }
 
-// receive takes a chunk in over the box's own link.
+// receive receives a chunk over the box's own link.
 func (b *box) receive(chunk, from int, took, latency time.Duration) {
-	w := b.w
-	own := w.onLink(b, 1)
-	arrives := max(w.now+latency, b.downFree+own, w.now+own-took)
-	b.downFree = arrives
-	w.after(arrives-w.now, func() {
+	sim := b.sim
+	own := sim.onLink(b, 1)
+	arrives := max(sim.now+latency, b.downlinkFreeAt+own, sim.now+own-took)
+	b.downlinkFreeAt = arrives
+	sim.after(arrives-sim.now, func() {
 		if b.plan != nil && from >= 0 {
 			b.plan.ObserveTransferTime(max(took, own))
 		}
-		b.fetched(chunk, from, "")
+		b.fetchEnded(chunk, from, "")
 	})
 }
 
-// fetched tells the planner how a fetch ended.
-func (b *box) fetched(chunk, from int, code fault.Code) {
-	w := b.w
-	if b.lost || !b.open[fetch{chunk, from}] {
+// fetchEnded reports the end of a fetch to the planner and announces a new chunk.
+func (b *box) fetchEnded(chunk, from int, code fault.Code) {
+	sim := b.sim
+	if b.lost || !b.pending[fetch{chunk, from}] {
 		return
 	}
-	delete(b.open, fetch{chunk, from})
+	delete(b.pending, fetch{chunk, from})
 	name := weights.Origin
 	if from >= 0 {
-		name = w.boxes[from].member.Name
+		name = sim.boxes[from].member.Name
 	}
 	had := b.plan.Have().Has(chunk)
-	b.plan.FetchEnded(w.clock(), chunk, name, code)
+	b.plan.FetchEnded(sim.clock(), chunk, name, code)
 	if from < 0 && code == "" {
-		w.OriginChunks++
+		sim.OriginChunks++
 	} else if from < 0 {
-		w.OriginFailures++
+		sim.OriginFailures++
 	}
-	if from >= 0 && code == "" && w.hall(from) != w.hall(b.i) {
-		w.CrossHallChunks++
+	if from >= 0 && code == "" && sim.hall(from) != sim.hall(b.index) {
+		sim.CrossHallChunks++
 	}
 	if code == "" && !had {
 		for i, p := range b.peers {
 			if p != nil {
 				p.unsent = append(p.unsent, chunk)
-				b.send(w.boxes[i], p)
+				b.scheduleSend(sim.boxes[i], p)
 			}
 		}
 		if b.plan.Complete() {
-			b.whole = w.now
+			b.completedAt = sim.now
 		}
 	}
-	b.tell(-1)
-	b.look()
+	b.spreadGossip(-1)
+	b.step()
 }
 
-// lose takes a box's power for good.
-func (b *box) lose() {
+// powerOff makes the box fail permanently.
+func (b *box) powerOff() {
 	b.lost = true
-	b.w.dropFlows()
-	b.w.after(noticeIn, b.w.part)
+	b.sim.dropFlows()
+	b.sim.after(detectionDelay, b.sim.dropSessions)
 }
--- a/internal/way/doc.go
+++ b/internal/way/doc.go
@@ -1,8 +1,8 @@
-// Package way is a model of a version's way to its boxes: the real planner of package
-// weights for each box, over a described network, with faults that are planned ahead.
-// Time is virtual and a play takes milliseconds, so that hundreds of random plans can be
-// compared with what the links would allow at best.
+// Package way simulates the distribution of a version to its boxes. Each box runs the real
+// planner of package weights over a described network, with scheduled faults. Time is virtual
+// and a run takes milliseconds, so that hundreds of random scenarios can be compared with the
+// lower bound given by the links.
 //
-// What is left out: manifests (boxes begin once they have theirs), processor time, other
-// traffic on the links, and the lists of boxes, which are taken to be the same everywhere.
+// The simulation omits manifests (boxes start once they have them), processor time, other
+// traffic on the links, and differences between the member lists of boxes.
 package way
--- a/internal/way/links.go
+++ b/internal/way/links.go
@@ -8,177 +8,178 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// flow is a chunk on the origin's link, which its flows share.
+// flow is the transfer of a chunk on the origin's link, whose capacity all flows share
+// equally.
 type flow struct {
-	to    *box
-	chunk int
-	left  float64 // Bytes.
+	to        *box
+	chunk     int
+	remaining float64 // Bytes.
 }
 
-// reach reports whether two boxes hear each other now.
-func (w *world) reach(a, b *box) bool {
+// reachable reports whether two boxes can exchange messages now.
+func (sim *simulation) reachable(a, b *box) bool {
 	if a.lost || b.lost {
 		return false
 	}
-	ha, hb := w.hall(a.i), w.hall(b.i)
-	for _, c := range w.Partitions {
-		if c.holds(w.now) && ha != hb && (c.Hall == ha || c.Hall == hb) {
+	ha, hb := sim.hall(a.index), sim.hall(b.index)
+	for _, c := range sim.Partitions {
+		if c.contains(sim.now) && ha != hb && (c.Hall == ha || c.Hall == hb) {
 			return false
 		}
 	}
 	return true
 }
 
-// reachOrigin reports whether a box reaches the origin now.
-func (w *world) reachOrigin(b *box) bool {
-	for _, s := range w.OriginOutages {
-		if s.holds(w.now) {
+// reachOrigin reports whether a box can reach the origin now.
+func (sim *simulation) reachOrigin(b *box) bool {
+	for _, s := range sim.OriginOutages {
+		if s.contains(sim.now) {
 			return false
 		}
 	}
-	for _, c := range w.Partitions {
-		if h := w.hall(b.i); c.holds(w.now) && h != 0 && (c.Hall == h || c.Hall == 0) {
+	for _, c := range sim.Partitions {
+		if h := sim.hall(b.index); c.contains(sim.now) && h != 0 && (c.Hall == h || c.Hall == 0) {
 			return false
 		}
 	}
 	return !b.lost
 }
 
-func (w *world) latency(a, b *box) time.Duration {
-	if w.hall(a.i) == w.hall(b.i) {
-		return w.InHallLatency
+func (sim *simulation) latency(a, b *box) time.Duration {
+	if sim.hall(a.index) == sim.hall(b.index) {
+		return sim.InHallLatency
 	}
-	return w.CrossHallLatency
+	return sim.CrossHallLatency
 }
 
-func (w *world) originLatency(b *box) time.Duration {
-	if w.hall(b.i) == 0 {
-		return w.InHallLatency
+func (sim *simulation) originLatency(b *box) time.Duration {
+	if sim.hall(b.index) == 0 {
+		return sim.InHallLatency
 	}
-	return w.CrossHallLatency
+	return sim.CrossHallLatency
 }
 
-// onLink is the time that a chunk takes on a share of a box's link.
-func (w *world) onLink(b *box, share float64) time.Duration {
-	rate := w.BoxRate * share
-	if f := w.LinkFactor[b.i]; f > 0 {
+// onLink returns the transfer time of a chunk on a share of a box's link.
+func (sim *simulation) onLink(b *box, share float64) time.Duration {
+	rate := sim.BoxRate * share
+	if f := sim.LinkFactor[b.index]; f > 0 {
 		rate *= f
 	}
-	return time.Duration(float64(w.ChunkBytes) / rate * float64(time.Second))
+	return time.Duration(float64(sim.ChunkBytes) / rate * float64(time.Second))
 }
 
-// serve puts a chunk on the origin's link.
-func (w *world) serve(b *box, chunk int) {
-	if !w.reachOrigin(b) {
-		w.after(w.originLatency(b), func() { b.fetched(chunk, -1, fault.Unreachable) })
+// serve starts the flow of a chunk on the origin's link.
+func (sim *simulation) serve(b *box, chunk int) {
+	if !sim.reachOrigin(b) {
+		sim.after(sim.originLatency(b), func() { b.fetchEnded(chunk, -1, fault.Unreachable) })
 		return
 	}
-	w.advance()
-	w.flows = append(w.flows, &flow{b, chunk, float64(w.ChunkBytes)})
-	w.plan()
+	sim.advance()
+	sim.flows = append(sim.flows, &flow{b, chunk, float64(sim.ChunkBytes)})
+	sim.scheduleFlowEnd()
 }
 
-// advance counts what the flows have carried since the last change.
-func (w *world) advance() {
-	if n := len(w.flows); n > 0 {
-		each := w.OriginRate * (w.now - w.moved).Seconds() / float64(n)
-		for _, f := range w.flows {
-			f.left -= each
+// advance subtracts from all flows the bytes carried since the last change.
+func (sim *simulation) advance() {
+	if n := len(sim.flows); n > 0 {
+		each := sim.OriginRate * (sim.now - sim.advancedAt).Seconds() / float64(n)
+		for _, f := range sim.flows {
+			f.remaining -= each
 		}
 	}
-	w.moved = w.now
+	sim.advancedAt = sim.now
 }
 
-// plan has the flow that ends first end.
-func (w *world) plan() {
-	if len(w.flows) == 0 {
+// scheduleFlowEnd schedules the end of the flow that ends first.
+func (sim *simulation) scheduleFlowEnd() {
+	if len(sim.flows) == 0 {
 		return
 	}
-	least := w.flows[0]
-	for _, f := range w.flows {
-		if f.left < least.left {
+	least := sim.flows[0]
+	for _, f := range sim.flows {
+		if f.remaining < least.remaining {
 			least = f
 		}
 	}
-	in := time.Duration(max(0, least.left) * float64(len(w.flows)) / w.OriginRate * float64(time.Second))
-	w.after(in+time.Microsecond, func() {
-		w.advance()
-		if least.left <= 0 && w.end(least) {
-			w.plan()
+	endsIn := time.Duration(max(0, least.remaining) * float64(len(sim.flows)) / sim.OriginRate * float64(time.Second))
+	sim.after(endsIn+time.Microsecond, func() {
+		sim.advance()
+		if least.remaining <= 0 && sim.finishFlow(least) {
+			sim.scheduleFlowEnd()
 		}
 	})
 }
 
-// end takes a flow off the link and gives its chunk to the box, and reports whether it was
-// there.
-func (w *world) end(f *flow) bool {
-	at := slices.Index(w.flows, f)
+// finishFlow removes a flow from the link and delivers its chunk. It reports whether the flow
+// was still there.
+func (sim *simulation) finishFlow(f *flow) bool {
+	at := slices.Index(sim.flows, f)
 	if at < 0 {
 		return false
 	}
-	w.flows = slices.Delete(w.flows, at, at+1)
-	if w.rnd.Float64() < w.CorruptRate {
-		w.after(w.originLatency(f.to), func() { f.to.fetched(f.chunk, -1, fault.Corrupt) })
+	sim.flows = slices.Delete(sim.flows, at, at+1)
+	if sim.rnd.Float64() < sim.CorruptRate {
+		sim.after(sim.originLatency(f.to), func() { f.to.fetchEnded(f.chunk, -1, fault.Corrupt) })
 		return true
 	}
-	f.to.receive(f.chunk, -1, 0, w.originLatency(f.to))
+	f.to.receive(f.chunk, -1, 0, sim.originLatency(f.to))
 	return true
 }
 
-// cancel takes a box's fetch of a chunk off the origin's link.
-func (w *world) cancel(b *box, chunk int) {
-	w.advance()
-	w.flows = slices.DeleteFunc(w.flows, func(f *flow) bool { return f.to == b && f.chunk == chunk })
-	w.plan()
-	w.after(0, func() { b.fetched(chunk, -1, fault.Cancelled) })
+// cancel removes a box's fetch of a chunk from the origin's link.
+func (sim *simulation) cancel(b *box, chunk int) {
+	sim.advance()
+	sim.flows = slices.DeleteFunc(sim.flows, func(f *flow) bool { return f.to == b && f.chunk == chunk })
+	sim.scheduleFlowEnd()
+	sim.after(0, func() { b.fetchEnded(chunk, -1, fault.Cancelled) })
 }
 
-// dropFlows ends all fetches of boxes that do not reach the origin any more.
-func (w *world) dropFlows() {
-	w.advance()
-	kept := w.flows[:0]
-	for _, f := range w.flows {
-		if w.reachOrigin(f.to) {
+// dropFlows ends all fetches of boxes that can no longer reach the origin.
+func (sim *simulation) dropFlows() {
+	sim.advance()
+	kept := sim.flows[:0]
+	for _, f := range sim.flows {
+		if sim.reachOrigin(f.to) {
 			kept = append(kept, f)
 			continue
 		}
-		w.after(w.originLatency(f.to), func() { f.to.fetched(f.chunk, -1, fault.Closed) })
+		sim.after(sim.originLatency(f.to), func() { f.to.fetchEnded(f.chunk, -1, fault.Closed) })
 	}
-	w.flows = kept
-	w.plan()
+	sim.flows = kept
+	sim.scheduleFlowEnd()
 }
 
-func (w *world) cut(int) {
-	w.dropFlows()
-	w.after(noticeIn, w.part)
+func (sim *simulation) partition(int) {
+	sim.dropFlows()
+	sim.after(detectionDelay, sim.dropSessions)
 }
 
-// part ends the sessions of boxes that do not hear each other.
-func (w *world) part() {
-	for _, b := range w.boxes {
+// dropSessions ends the sessions of boxes that cannot reach each other.
+func (sim *simulation) dropSessions() {
+	for _, b := range sim.boxes {
 		for i, p := range b.peers {
-			if o := w.boxes[i]; p != nil && !w.reach(b, o) {
+			if o := sim.boxes[i]; p != nil && !sim.reachable(b, o) {
 				b.peers[i] = nil
 				b.plan.PeerDisconnected(o.member.Name)
 			}
 		}
-		b.look()
+		b.step()
 	}
 }
 
-// meet opens sessions again after a cut.
-func (w *world) meet() {
+// reconnect opens sessions again after a partition.
+func (sim *simulation) reconnect() {
 	var members []weights.Member
-	for _, b := range w.boxes {
+	for _, b := range sim.boxes {
 		members = append(members, b.member)
 	}
-	for _, b := range w.boxes {
+	for _, b := range sim.boxes {
 		if b.plan == nil || b.lost {
 			continue
 		}
 		for _, m := range weights.Swarm.Neighbours(b.member, members) {
 			i := slices.IndexFunc(members, func(o weights.Member) bool { return o.Name == m.Name })
-			b.dial(w.boxes[i])
+			b.dial(sim.boxes[i])
 		}
 	}
 }
--- a/internal/way/plan.go
+++ b/internal/way/plan.go
@@ -6,65 +6,66 @@
 	"time"
 )
 
-// Scenario describes one play. Times count from the naming of the version.
+// Scenario describes one run. Times count from when the version is assigned.
 type Scenario struct {
 	Seed             uint64
 	Boxes            int
-	Halls            int // Box i stands in hall i modulo Halls; the origin in hall 0.
+	Halls            int // Box i is in hall i modulo Halls; the origin is in hall 0.
 	Chunks           int
 	ChunkBytes       int
-	OriginRate       float64       // Bytes a second that the origin's link carries.
-	BoxRate          float64       // The same of each box's, either way.
-	InHallLatency    time.Duration // Of a message, one way.
-	CrossHallLatency time.Duration // The same between halls.
-	StartJitter      time.Duration // Boxes begin at moments drawn up to then: they have their manifests.
+	OriginRate       float64       // Capacity of the origin's link in bytes a second.
+	BoxRate          float64       // Capacity of each box's link in bytes a second, in each direction.
+	InHallLatency    time.Duration // One-way latency within a hall.
+	CrossHallLatency time.Duration // One-way latency between halls.
+	StartJitter      time.Duration // Boxes start at random times up to this one, when they have their manifests.
 
-	OriginOutages []Span          // The origin cannot be reached.
-	CorruptRate   float64         // Share of the origin's answers that match no digest.
-	Partitions    []HallPartition // Halls that reach no other.
-	Lost          []BoxEvent      // Boxes that lose power for good.
-	LateJoins     []BoxEvent      // Boxes that begin later.
-	LinkFactor    map[int]float64 // Boxes whose links carry only such a part of BoxRate.
+	OriginOutages []Span          // Spans in which the origin is unreachable.
+	CorruptRate   float64         // Share of the origin's answers that are corrupt.
+	Partitions    []HallPartition // Halls cut off from the other halls.
+	Lost          []BoxEvent      // Boxes that fail permanently.
+	LateJoins     []BoxEvent      // Boxes that start later.
+	LinkFactor    map[int]float64 // Share of BoxRate that the links of these boxes carry.
 }
 
-// Span is from a moment until before another.
+// Span is the time from From until before To.
 type Span struct{ From, To time.Duration }
 
-// HallPartition is a hall that reaches no other for a while.
+// HallPartition is a hall that is cut off from the other halls for a span.
 type HallPartition struct {
 	Hall int
 	Span
 }
 
-// BoxEvent is something that happens to a box at a moment.
+// BoxEvent is an event of a box at a time.
 type BoxEvent struct {
 	Box int
 	At  time.Duration
 }
 
-func (s Span) holds(at time.Duration) bool { return at >= s.From && at < s.To }
+func (s Span) contains(at time.Duration) bool { return at >= s.From && at < s.To }
 
 func (p *Scenario) hall(box int) int { return box % p.Halls }
 
-// copyBytes is the size of the version.
+// copyBytes returns the size of the version in bytes.
 func (p *Scenario) copyBytes() float64 { return float64(p.Chunks * p.ChunkBytes) }
 
-// String describes the faults, for a table.
+// String describes the scenario and its faults on one line, for logs and tables.
 func (p *Scenario) String() string {
 	return fmt.Sprintf("seed=%d boxes=%d halls=%d away=%v spoilt=%.2f cut=%v lost=%d joined=%d squeezed=%d",
 		p.Seed, p.Boxes, p.Halls, p.OriginOutages, p.CorruptRate, p.Partitions, len(p.Lost), len(p.LateJoins), len(p.LinkFactor))
 }
 
-// LowerBound is when all boxes that are not lost could have the version at best: the origin's
-// link is busy whenever it can be reached until one copy has left it, and then or
-// meanwhile each box's link carries one copy. A hall that is cut off from the origin
-// before that has it no sooner than the cut ends. It is a fluid bound: that a chunk is
-// passed on only when it is whole, and from box to box, is not in it.
+// LowerBound returns a lower bound of the time at which all boxes that do not fail have the
+// version. The origin's link is busy whenever it can be reached until one copy has left it,
+// and meanwhile or afterwards each box's link carries one copy. A hall that is cut off before
+// the origin has sent one copy has the version no earlier than the end of the partition. It is
+// a fluid bound: it ignores that a chunk is forwarded only once it is complete, and that it
+// passes from box to box.
 func (p *Scenario) LowerBound() time.Duration {
 	left := time.Duration(p.copyBytes() / p.OriginRate * float64(time.Second))
 	at := time.Duration(0)
 	for left > 0 {
-		end, away := p.nextAway(at)
+		end, away := p.nextOutage(at)
 		if away {
 			at = end
 			continue
@@ -104,11 +105,11 @@
 	return bound
 }
 
-// nextAway returns whether the origin is away at a moment, and until when that holds; 0 is
-// for ever.
-func (p *Scenario) nextAway(at time.Duration) (end time.Duration, away bool) {
+// nextOutage reports whether the origin is unreachable at a time, and returns when that
+// changes; 0 means never.
+func (p *Scenario) nextOutage(at time.Duration) (end time.Duration, away bool) {
 	for _, s := range p.OriginOutages {
-		if s.holds(at) {
+		if s.contains(at) {
 			return s.To, true
 		}
 		if s.From > at && (end == 0 || s.From < end) {
@@ -118,7 +119,8 @@
 	return end, false
 }
 
-// ScarceOrigin is a plan without faults: an origin whose link carries less than a box's.
+// ScarceOrigin returns a scenario without faults in which the origin's link carries less than
+// a box's.
 func ScarceOrigin(seed uint64) Scenario {
 	return Scenario{
 		Seed: seed, Boxes: 45, Halls: 3, Chunks: 96, ChunkBytes: 24576, OriginRate: 4.38e6 / 8, BoxRate: 7.3e6 / 8,
@@ -126,7 +128,7 @@
 	}
 }
 
-// RandomScenario draws a plan with some faults.
+// RandomScenario returns a random scenario with some faults.
 func RandomScenario(seed uint64) Scenario {
 	r := rand.New(rand.NewPCG(seed, 1))
 	p := ScarceOrigin(seed)
--- a/internal/way/play.go
+++ b/internal/way/play.go
@@ -10,47 +10,47 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// Metrics is what a play came to.
+// Metrics are the results of a run.
 type Metrics struct {
-	First, Median, Last time.Duration // When so many of the boxes that live had the version.
-	OriginChunks        int           // Chunks that left the origin whole.
-	OriginFailures      int           // Fetches from it that brought nothing.
-	CrossHallChunks     int           // Chunks that a box of another hall sent.
+	First, Median, Last time.Duration // When the first, the median and the last live box had the version.
+	OriginChunks        int           // Chunks fetched from the origin.
+	OriginFailures      int           // Failed fetches from the origin.
+	CrossHallChunks     int           // Chunks sent between halls by boxes.
 	LowerBound          time.Duration
 }
 
-// Ratio is the time until all had the version over the bound.
+// Ratio returns Last as a multiple of LowerBound.
 func (f *Metrics) Ratio() float64 { return float64(f.Last) / float64(f.LowerBound) }
 
-// How the agents of a box are set.
+// Configuration of the boxes, as in their agents, and limits of a run.
 const (
-	flush       = 25 * time.Millisecond
-	stagger     = 150 * time.Millisecond
-	uploadQueue = 4
-	parallel    = 6
-	atOrigin    = 3
-	linkShare   = 0.85                    // Of a box's link that uploads take.
-	noticeIn    = 1500 * time.Millisecond // A neighbour that says nothing is given up.
-	mostTime    = 60 * time.Second        // A play ends then.
+	flush          = 25 * time.Millisecond
+	stagger        = 150 * time.Millisecond
+	uploadQueue    = 4
+	parallel       = 6
+	atOrigin       = 3
+	linkShare      = 0.85                    // Share of a box's link that uploads use.
+	detectionDelay = 1500 * time.Millisecond // Time until the failure of a neighbour is detected.
+	maxTime        = 60 * time.Second        // Limit of a run.
 )
 
-// world is a play while it runs.
-type world struct {
+// simulation is the state of a run.
+type simulation struct {
 	*Scenario
-	rnd   *rand.Rand
-	now   time.Duration
-	queue events
-	seq   int
-	boxes []*box
-	flows []*flow // Of the origin's link.
-	moved time.Duration
+	rnd        *rand.Rand
+	now        time.Duration
+	queue      events
+	seq        int
+	boxes      []*box
+	flows      []*flow // Flows on the origin's link.
+	advancedAt time.Duration
 	Metrics
 }
 
 type event struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
 type events []event
@@ -70,71 +70,71 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func (w *world) clock() time.Time { return epoch.Add(w.now) }
+func (sim *simulation) clock() time.Time { return epoch.Add(sim.now) }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now + max(0, d), w.seq, do})
+func (sim *simulation) after(d time.Duration, run func()) {
+	sim.seq++
+	heap.Push(&sim.queue, event{sim.now + max(0, d), sim.seq, run})
 }
 
-// Run plays a plan.
+// Run runs the scenario.
 func (p Scenario) Run() Metrics {
-	w := &world{Scenario: &p, rnd: rand.New(rand.NewPCG(p.Seed, 2))}
-	w.Metrics.LowerBound = p.LowerBound()
-	w.setUp()
-	for len(w.queue) > 0 && w.now < mostTime && !w.done() {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.do()
+	sim := &simulation{Scenario: &p, rnd: rand.New(rand.NewPCG(p.Seed, 2))}
+	sim.Metrics.LowerBound = p.LowerBound()
+	sim.setUp()
+	for len(sim.queue) > 0 && sim.now < maxTime && !sim.done() {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
+		e.run()
 	}
-	w.sum()
-	return w.Metrics
+	sim.computeMetrics()
+	return sim.Metrics
 }
 
-func (w *world) setUp() {
+func (sim *simulation) setUp() {
 	var members []weights.Member
-	for i := range w.Scenario.Boxes {
-		members = append(members, weights.Member{Name: fmt.Sprintf("10.0.%d.%d", w.hall(i), i), Hall: fmt.Sprint(w.hall(i))})
+	for i := range sim.Scenario.Boxes {
+		members = append(members, weights.Member{Name: fmt.Sprintf("10.0.%d.%d", sim.hall(i), i), Hall: fmt.Sprint(sim.hall(i))})
 	}
 	joined := map[int]time.Duration{}
-	for _, j := range w.LateJoins {
+	for _, j := range sim.LateJoins {
 		joined[j.Box] = j.At
 	}
 	for i, m := range members {
-		b := &box{w: w, i: i, member: m, peers: make([]*peer, w.Scenario.Boxes), open: map[fetch]bool{}}
-		w.boxes = append(w.boxes, b)
-		begin := time.Duration(w.rnd.Int64N(int64(w.StartJitter) + 1))
-		w.after(max(begin, joined[i]), func() { b.begin(members) })
+		b := &box{sim: sim, index: i, member: m, peers: make([]*peer, sim.Scenario.Boxes), pending: map[fetch]bool{}}
+		sim.boxes = append(sim.boxes, b)
+		start := time.Duration(sim.rnd.Int64N(int64(sim.StartJitter) + 1))
+		sim.after(max(start, joined[i]), func() { b.start(members) })
 	}
-	for _, l := range w.Lost {
-		w.after(l.At, func() { w.boxes[l.Box].lose() })
+	for _, l := range sim.Lost {
+		sim.after(l.At, func() { sim.boxes[l.Box].powerOff() })
 	}
-	for _, s := range w.OriginOutages {
-		w.after(s.From, w.dropFlows)
+	for _, s := range sim.OriginOutages {
+		sim.after(s.From, sim.dropFlows)
 	}
-	for _, c := range w.Partitions {
-		w.after(c.From, func() { w.cut(c.Hall) })
-		w.after(c.To, w.meet)
+	for _, c := range sim.Partitions {
+		sim.after(c.From, func() { sim.partition(c.Hall) })
+		sim.after(c.To, sim.reconnect)
 	}
 }
 
-func (w *world) done() bool {
-	return !slices.ContainsFunc(w.boxes, func(b *box) bool { return !b.lost && b.whole == 0 })
+func (sim *simulation) done() bool {
+	return !slices.ContainsFunc(sim.boxes, func(b *box) bool { return !b.lost && b.completedAt == 0 })
 }
 
-func (w *world) sum() {
+func (sim *simulation) computeMetrics() {
 	var at []time.Duration
-	for _, b := range w.boxes {
+	for _, b := range sim.boxes {
 		switch {
 		case b.lost:
-		case b.whole == 0:
-			at = append(at, mostTime)
+		case b.completedAt == 0:
+			at = append(at, maxTime)
 		default:
-			at = append(at, b.whole)
+			at = append(at, b.completedAt)
 		}
 	}
 	slices.Sort(at)
 	if len(at) > 0 {
-		w.First, w.Median, w.Last = at[0], at[len(at)/2], at[len(at)-1]
+		sim.First, sim.Median, sim.Last = at[0], at[len(at)/2], at[len(at)-1]
 	}
 }
--- a/internal/way/sweep.go
+++ b/internal/way/sweep.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// Result is a plan with what it came to.
+// Result is a scenario with the metrics of its run.
 type Result struct {
 	Scenario Scenario
 	Metrics
 }
 
-// RunAll plays plans, as many at a time as there are processors, and returns them in
-// their order.
+// RunAll runs scenarios, as many in parallel as there are processors, and returns the results
+// in the order of the scenarios.
 func RunAll(plans []Scenario) []Result {
 	out := make([]Result, len(plans))
 	next := make(chan int)
@@ -33,17 +33,17 @@
 	return out
 }
 
-// Summary is how plays compare with their bounds.
+// Summary aggregates the results of runs.
 type Summary struct {
 	Runs             int
-	Median, P95, Max float64 // Of the ratios.
-	ExtraCopies      float64 // Chunks that left the origin more than once, over one copy's.
-	FailuresPerRun   float64 // Fetches that brought nothing, a play.
-	CrossHallCopies  float64 // Copies that crossed into a hall.
+	Median, P95, Max float64 // Statistics of Metrics.Ratio.
+	ExtraCopies      float64 // Chunks fetched from the origin beyond one copy, as a share of one copy.
+	FailuresPerRun   float64 // Failed fetches from the origin, per run.
+	CrossHallCopies  float64 // Copies sent into each hall other than the origin's.
 	Worst            Result
 }
 
-// Summarize sums plays up. There is at least one.
+// Summarize aggregates results, of which there must be at least one.
 func Summarize(ps []Result) Summary {
 	s := Summary{Runs: len(ps)}
 	ratios := make([]float64, len(ps))
--- a/internal/way/way_test.go
+++ b/internal/way/way_test.go
@@ -8,9 +8,9 @@
 )
 
 func TestBound(t *testing.T) {
-	second := Scenario{Boxes: 2, Halls: 2, Chunks: 10, ChunkBytes: 100, OriginRate: 1000, BoxRate: 2000}
+	base := Scenario{Boxes: 2, Halls: 2, Chunks: 10, ChunkBytes: 100, OriginRate: 1000, BoxRate: 2000}
 	with := func(change func(p *Scenario)) Scenario {
-		p := second
+		p := base
 		change(&p)
 		return p
 	}
@@ -19,7 +19,7 @@
 		plan Scenario
 		want time.Duration
 	}{
-		{"the origin's link", second, time.Second},
+		{"the origin's link", base, time.Second},
 		{"a box's link", with(func(p *Scenario) { p.BoxRate = 500 }), 2 * time.Second},
 		{"a squeezed box", with(func(p *Scenario) { p.LinkFactor = map[int]float64{1: 0.25} }), 2 * time.Second},
 		{"a squeezed box that is lost", with(func(p *Scenario) {
@@ -39,14 +39,14 @@
 	}
 }
 
-// A plan plays the same way each time.
-func TestPlayRepeats(t *testing.T) {
+// Two runs of a scenario have the same results.
+func TestRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	p := RandomScenario(3)
 	is.Equal(p.Run(), p.Run())
 }
 
-// summary plays so many plans.
+// summary runs n scenarios and aggregates the results.
 func summary(n uint64, draw func(seed uint64) Scenario) Summary {
 	var plans []Scenario
 	for seed := range n {
@@ -55,21 +55,22 @@
 	return Summarize(RunAll(plans))
 }
 
-// Without faults a version leaves a scarce origin once, and is everywhere soon after.
+// Without faults a version leaves an origin with a slow link about once, and all boxes have it
+// soon after that.
 func TestScarceOrigin(t *testing.T) {
 	is := is.New(t)
 	s := summary(4, ScarceOrigin)
-	t.Logf("median=%.3f most=%.3f extra=%.3f", s.Median, s.Max, s.ExtraCopies)
+	t.Logf("median=%.3f max=%.3f extra=%.3f", s.Median, s.Max, s.ExtraCopies)
 	is.True(s.Max <= 1.25)
 	is.True(s.ExtraCopies <= 0.02)
 }
 
-// With faults drawn at random every box that lives has the version, not long after the
-// links allow it, and few chunks leave the origin twice.
+// With random faults every live box has the version not long after the lower bound, and few
+// chunks leave the origin twice.
 func TestRandomPlans(t *testing.T) {
 	is := is.New(t)
 	s := summary(16, RandomScenario)
-	t.Logf("median=%.3f 95%%=%.3f most=%.3f extra=%.3f worst: %s", s.Median, s.P95, s.Max, s.ExtraCopies, s.Worst.Scenario.String())
+	t.Logf("median=%.3f 95%%=%.3f max=%.3f extra=%.3f worst: %s", s.Median, s.P95, s.Max, s.ExtraCopies, s.Worst.Scenario.String())
 	is.True(s.Median <= 1.35)
 	is.True(s.Max <= 2)
 	is.True(s.ExtraCopies <= 0.05)
