--- a/mirror/copy_test.go
+++ b/mirror/copy_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// service publishes, and comes back from copies of itself.
+// service is a store that publishes records and is restored from backups.
 type service struct {
 	era     uint64
 	history []Record
@@ -27,8 +27,8 @@
 	})
 }
 
-// fallBack loses the last changes. Those before them are of the new era from now on.
-func (s *service) fallBack(changes int) {
+// restoreFromBackup drops the last changes and moves the others to a new era.
+func (s *service) restoreFromBackup(changes int) {
 	s.era++
 	s.history = slices.Clone(s.history[:len(s.history)-changes])
 	for i := range s.history {
@@ -36,8 +36,8 @@
 	}
 }
 
-// exists returns the values that exist.
-func (s *service) exists() map[string]string {
+// values returns the existing values by key.
+func (s *service) values() map[string]string {
 	out := map[string]string{}
 	for _, r := range s.history {
 		out[r.Key] = string(r.Value)
@@ -48,7 +48,7 @@
 	return out
 }
 
-func (s *service) whole() Delta {
+func (s *service) snapshot() Delta {
 	d := Delta{At: s.at(), Whole: true}
 	last := map[string]Record{}
 	for _, r := range s.history {
@@ -62,7 +62,7 @@
 	return d
 }
 
-// since is a watch's answer, or false where the service does not have the position.
+// since returns the response to a watch, or false if the service does not have the position.
 func (s *service) since(at Position) (Delta, bool) {
 	if at.Era() != s.era || at.Revision() > uint64(len(s.history)) {
 		return Delta{}, false
@@ -79,14 +79,15 @@
 	return out
 }
 
-// Mirrors that read the service at any time, and are told by one another in any order, late and
-// twice, never go back to an older era, and hold what exists when they have the newest position.
+// Mirrors that read the service at any time, and apply one another's deltas late, repeatedly and in
+// any order, never move back to an older era, and hold exactly what exists when they reach the newest
+// position.
 func TestMirrorsConvergeWhenTheServiceComesBackFromCopies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &service{era: rapid.Uint64Range(0, 2).Draw(t, "first era")}
 		s.publish(t)
 		ms := []*Mirror{{}, {}, {}}
-		var onTheWay []Delta // Told, and not arrived.
+		var inFlight []Delta // Sent and not yet delivered; may be delivered more than once.
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			m := ms[rapid.IntRange(0, len(ms)-1).Draw(t, "mirror")]
 			before := m.At()
@@ -94,26 +95,26 @@
 			case 0, 1:
 				s.publish(t)
 			case 2:
-				s.fallBack(rapid.IntRange(0, min(6, len(s.history)-1)).Draw(t, "lost"))
+				s.restoreFromBackup(rapid.IntRange(0, min(6, len(s.history)-1)).Draw(t, "lost"))
 			case 3:
-				m.Apply(s.whole())
+				m.Apply(s.snapshot())
 			case 4:
 				if d, ok := s.since(before); ok && before > 0 {
 					m.Apply(d)
 				}
 			case 5:
 				d := ms[rapid.IntRange(0, len(ms)-1).Draw(t, "from")].Since(before)
-				onTheWay = append(onTheWay, d)
+				inFlight = append(inFlight, d)
 			default:
-				if len(onTheWay) > 0 {
-					m.Apply(onTheWay[rapid.IntRange(0, len(onTheWay)-1).Draw(t, "arrives")])
+				if len(inFlight) > 0 {
+					m.Apply(inFlight[rapid.IntRange(0, len(inFlight)-1).Draw(t, "arrives")])
 				}
 			}
 			if m.At() < before {
-				t.Fatalf("fell from %v to %v", before, m.At())
+				t.Fatalf("position fell from %v to %v", before, m.At())
 			}
 			for i, m := range ms {
-				if got, want := values(m), s.exists(); m.At() == s.at() && !maps.Equal(got, want) {
+				if got, want := values(m), s.values(); m.At() == s.at() && !maps.Equal(got, want) {
 					t.Fatalf("mirror %d at %v holds %v, want %v", i, m.At(), got, want)
 				}
 			}
@@ -121,9 +122,9 @@
 	})
 }
 
-// newest has the record with the greater value hold.
-func newest(known, said Record) time.Duration {
-	if known.Gone || !said.Gone && string(said.Value) >= string(known.Value) {
+// holdGreater holds a record without limit if its value is greater than the published one.
+func holdGreater(known, published Record) time.Duration {
+	if known.Gone || !published.Gone && string(published.Value) >= string(known.Value) {
 		return 0
 	}
 	return Forever
@@ -135,32 +136,32 @@
 	return Record{Key: key, Value: []byte(value), Rev: at}
 }
 
-// turned is a mirror that knew a record and then read a copy.
-func turned(outlasts HoldPolicy, known Record, copied ...Record) *Mirror {
-	m := &Mirror{HoldPolicy: outlasts}
+// restoredMirror returns a mirror that had a record and then read a restored store.
+func restoredMirror(policy HoldPolicy, known Record, restored ...Record) *Mirror {
+	m := &Mirror{HoldPolicy: policy}
 	m.Apply(Delta{Whole: true, At: known.Rev, Records: []Record{known}})
-	m.Apply(Delta{Whole: true, At: pos(2, 7), Records: copied})
+	m.Apply(Delta{Whole: true, At: pos(2, 7), Records: restored})
 	return m
 }
 
 func TestWhatOutlastsACopyHoldsUntilItIsWrittenAgain(t *testing.T) {
 	cases := []struct {
 		name  string
-		later []Record // After the copy.
+		later []Record // Published after the restore.
 		want  string
 	}{
-		{"the copy alone", nil, "9"},
+		{"the restored record alone", nil, "9"},
 		{"an older one is written", []Record{rec("k", "8", pos(2, 8))}, "9"},
 		{"the same is written", []Record{rec("k", "8", pos(2, 8)), rec("k", "9", pos(2, 9))}, "9"},
 		{"a newer one is written", []Record{rec("k", "95", pos(2, 8))}, "95"},
-		{"it is deleted", []Record{{Key: "k", Rev: pos(2, 8), Gone: true}}, ""},
-		{"written, and an older one after it", []Record{rec("k", "9", pos(2, 8)), rec("k", "3", pos(2, 9))}, "3"},
+		{"deleted", []Record{{Key: "k", Rev: pos(2, 8), Gone: true}}, ""},
+		{"the same and then an older one are written", []Record{rec("k", "9", pos(2, 8)), rec("k", "3", pos(2, 9))}, "3"},
 	}
-	for _, copied := range [][]Record{nil, {rec("k", "5", pos(2, 5))}} {
+	for _, restored := range [][]Record{nil, {rec("k", "5", pos(2, 5))}} {
 		for _, c := range cases {
-			t.Run(fmt.Sprint(c.name, len(copied)), func(t *testing.T) {
+			t.Run(fmt.Sprint(c.name, len(restored)), func(t *testing.T) {
 				is := is.New(t)
-				m := turned(newest, rec("k", "9", pos(1, 9)), copied...)
+				m := restoredMirror(holdGreater, rec("k", "9", pos(1, 9)), restored...)
 				for _, r := range c.later {
 					is.True(m.Apply(Delta{Base: m.At(), At: r.Rev, Records: []Record{r}}))
 				}
@@ -170,23 +171,23 @@
 	}
 }
 
-// One that is told of a position learns all that is held for good with a whole.
+// A process that starts receives the records held without a time limit in a snapshot.
 func TestWhatIsHeldIsToldToThoseThatStart(t *testing.T) {
 	is := is.New(t)
-	m := turned(newest, rec("k", "9", pos(1, 9)), rec("k", "5", pos(2, 5)))
-	started := &Mirror{HoldPolicy: newest}
+	m := restoredMirror(holdGreater, rec("k", "9", pos(1, 9)), rec("k", "5", pos(2, 5)))
+	started := &Mirror{HoldPolicy: holdGreater}
 	started.Apply(m.Since(0))
 	is.Equal(values(started)["k"], "9")
-	is.Equal(len(started.HeldRecords()), 1) // Those that read the copy are told by it as well.
-	knew := turned(newest, rec("k", "9", pos(1, 9)), started.Since(0).Records...)
-	is.Equal(len(knew.HeldRecords()), 1)
+	is.Equal(len(started.HeldRecords()), 1) // It can send the record to mirrors that read the restored store.
+	reader := restoredMirror(holdGreater, rec("k", "9", pos(1, 9)), started.Since(0).Records...)
+	is.Equal(len(reader.HeldRecords()), 1)
 	started.Apply(Delta{Base: pos(2, 7), At: pos(2, 8), Records: []Record{rec("k", "6", pos(2, 8))}})
 	is.Equal(values(started)["k"], "9")
 }
 
-func TestRecordThatAnotherHolds(t *testing.T) {
+func TestHoldOfPeerRecord(t *testing.T) {
 	read := func(rs ...Record) *Mirror {
-		m := &Mirror{HoldPolicy: newest}
+		m := &Mirror{HoldPolicy: holdGreater}
 		m.Apply(Delta{Whole: true, At: pos(2, 7), Records: rs})
 		return m
 	}
@@ -195,21 +196,21 @@
 		m    *Mirror
 		want string
 	}{
-		{"started on the copy", read(rec("k", "5", pos(2, 5))), "9"},
-		{"started on a copy without it", read(rec("x", "1", pos(2, 5))), "9"},
-		{"has it already", turned(newest, rec("k", "9", pos(1, 9)), rec("k", "5", pos(2, 5))), "9"},
-		{"holds an older one", turned(newest, rec("k", "8", pos(1, 8)), rec("k", "5", pos(2, 5))), "9"},
-		{"holds a newer one", turned(newest, rec("k", "95", pos(1, 10)), rec("k", "5", pos(2, 5))), "95"},
+		{"started on the restored store", read(rec("k", "5", pos(2, 5))), "9"},
+		{"started on a restored store without it", read(rec("x", "1", pos(2, 5))), "9"},
+		{"has it already", restoredMirror(holdGreater, rec("k", "9", pos(1, 9)), rec("k", "5", pos(2, 5))), "9"},
+		{"holds an older one", restoredMirror(holdGreater, rec("k", "8", pos(1, 8)), rec("k", "5", pos(2, 5))), "9"},
+		{"holds a newer one", restoredMirror(holdGreater, rec("k", "95", pos(1, 10)), rec("k", "5", pos(2, 5))), "95"},
 		{"read a newer one", read(rec("k", "99", pos(2, 6))), "99"},
-		{"knows nothing", &Mirror{HoldPolicy: newest}, ""},
+		{"empty", &Mirror{HoldPolicy: holdGreater}, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			told := HeldRecord{Record: rec("k", "9", pos(1, 9))}
-			c.m.Hold(told, epoch)
+			peerHeld := HeldRecord{Record: rec("k", "9", pos(1, 9))}
+			c.m.Hold(peerHeld, epoch)
 			is.Equal(values(c.m)["k"], c.want)
-			is.True(c.m.At() == 0 || !c.m.NeedsHeld("k", told.Rev)) // It is not asked for again.
+			is.True(c.m.At() == 0 || !c.m.NeedsHeld("k", peerHeld.Rev)) // It is not requested again.
 		})
 	}
 	t.Run("deleted since", func(t *testing.T) {
@@ -219,18 +220,18 @@
 		is.True(!m.Hold(HeldRecord{Record: rec("k", "9", pos(1, 9))}, epoch))
 		is.Equal(len(values(m)), 0)
 	})
-	t.Run("of the era before", func(t *testing.T) {
+	t.Run("of the current era", func(t *testing.T) {
 		is := is.New(t)
-		m := &Mirror{HoldPolicy: newest}
+		m := &Mirror{HoldPolicy: holdGreater}
 		m.Apply(Delta{Whole: true, At: pos(1, 9), Records: []Record{rec("k", "8", pos(1, 8))}})
 		is.True(!m.NeedsHeld("k", pos(1, 9)))
 		is.True(!m.Hold(HeldRecord{Record: rec("k", "9", pos(1, 9))}, epoch))
 	})
 }
 
-// aSecond has all hold for a second, whatever the copy says.
-func aSecond(known, said Record) time.Duration {
-	if known.Gone && said.Gone {
+// holdOneSecond holds every record for a second, whatever the restored store publishes.
+func holdOneSecond(known, published Record) time.Duration {
+	if known.Gone && published.Gone {
 		return 0
 	}
 	return time.Second
@@ -238,14 +239,14 @@
 
 func TestRecordThatIsHeldForAWhileIsLeftToTheCopyAfterIt(t *testing.T) {
 	is := is.New(t)
-	m := &Mirror{HoldPolicy: aSecond}
+	m := &Mirror{HoldPolicy: holdOneSecond}
 	m.Apply(Delta{Whole: true, At: pos(1, 8), Records: []Record{rec("deleted", "1", pos(1, 5)), rec("missing", "2", pos(1, 8))}})
 	m.Apply(Delta{Base: pos(1, 8), At: pos(1, 9), Records: []Record{{Key: "deleted", Rev: pos(1, 9), Gone: true}}})
 	m.Apply(Delta{Whole: true, At: pos(2, 7), Records: []Record{rec("deleted", "1", pos(2, 5))}})
 	is.Equal(values(m), map[string]string{"missing": "2"})
 	var other Mirror
 	other.Apply(m.Since(0))
-	is.Equal(values(&other), map[string]string{"deleted": "1"}) // Else it would lack it for good.
+	is.Equal(values(&other), map[string]string{"deleted": "1"}) // Otherwise it would never receive the record.
 	m.expire(time.Now())
 	is.Equal(values(m), map[string]string{"missing": "2"})
 	m.expire(time.Now().Add(time.Second))
@@ -255,33 +256,34 @@
 
 func TestDeletedRecordThatIsWrittenAgainIsThere(t *testing.T) {
 	is := is.New(t)
-	m := &Mirror{HoldPolicy: aSecond}
+	m := &Mirror{HoldPolicy: holdOneSecond}
 	m.Apply(Delta{Whole: true, At: pos(1, 8), Records: []Record{rec("k", "1", pos(1, 5))}})
 	m.Apply(Delta{Base: pos(1, 8), At: pos(1, 9), Records: []Record{{Key: "k", Rev: pos(1, 9), Gone: true}}})
 	m.Apply(Delta{Whole: true, At: pos(2, 7), Records: []Record{rec("k", "1", pos(2, 5))}})
 	is.Equal(len(values(m)), 0)
 	m.Apply(Delta{Base: pos(2, 7), At: pos(2, 8), Records: []Record{rec("k", "1", pos(2, 8))}})
 	is.Equal(values(m)["k"], "1")
-	is.True(!m.Hold(HeldRecord{Record: Record{Key: "k", Rev: pos(1, 9), Gone: true}}, time.Now())) // Another one still holds it.
+	is.True(!m.Hold(HeldRecord{Record: Record{Key: "k", Rev: pos(1, 9), Gone: true}}, time.Now())) // Another mirror still holds the deletion.
 	is.Equal(values(m)["k"], "1")
 }
 
 func TestChangeThatACopyHasIsAsOldAsItWas(t *testing.T) {
 	is := is.New(t)
-	m := turned(nil, rec("k", "1", pos(1, 5)), rec("k", "1", pos(2, 5)), rec("l", "1", pos(2, 6)))
+	m := restoredMirror(nil, rec("k", "1", pos(1, 5)), rec("k", "1", pos(2, 5)), rec("l", "1", pos(2, 6)))
 	rs, _ := m.Records()
 	r := rs["k"]
 	is.Equal(r.FirstPosition(), pos(1, 5))
-	is.Equal(rs["k"].Rev, pos(2, 5)) // By which it is told on.
+	is.Equal(rs["k"].Rev, pos(2, 5)) // The position by which other mirrors receive it.
 	r = rs["l"]
 	is.Equal(r.FirstPosition(), pos(2, 6))
 }
 
-// A naming that the copy lost and that is made again keeps the time of the first.
-func TestChangeThatIsMadeAgainKeepsItsTime(t *testing.T) {
+// A change that the restore lost and that is made again keeps the time of the first one in its
+// history.
+func TestRewrittenChangeKeepsTheTimeOfTheFirst(t *testing.T) {
 	is := is.New(t)
 	made, again := epoch, epoch.Add(9*time.Second)
-	m := &Mirror{HoldPolicy: newest}
+	m := &Mirror{HoldPolicy: holdGreater}
 	m.Apply(Delta{Whole: true, At: pos(1, 8), Records: []Record{rec("k", "1", pos(1, 5))}})
 	m.Apply(Delta{Base: pos(1, 8), At: pos(1, 9), Records: []Record{rec("k", "2", pos(1, 9))}, NotBefore: made})
 	m.Apply(Delta{Whole: true, At: pos(2, 8), Records: []Record{rec("k", "1", pos(2, 5))}, NotBefore: made.Add(time.Second)})
@@ -293,48 +295,48 @@
 	is.Equal(r.Earlier[len(r.Earlier)-1].NotBefore, made)
 }
 
-func TestTwoCopiesInARow(t *testing.T) {
+func TestTwoRestoresInARow(t *testing.T) {
 	is := is.New(t)
-	m := turned(newest, rec("k", "9", pos(1, 9)), rec("k", "5", pos(2, 5)))
+	m := restoredMirror(holdGreater, rec("k", "9", pos(1, 9)), rec("k", "5", pos(2, 5)))
 	m.Apply(Delta{Whole: true, At: pos(5, 6), Records: []Record{rec("k", "4", pos(5, 4))}})
 	is.Equal(m.At(), pos(5, 6))
 	is.Equal(values(m)["k"], "9")
-	is.True(m.Apply(Delta{Whole: true, At: pos(2, 30), Records: []Record{rec("k", "99", pos(2, 30))}})) // It came late.
+	is.True(m.Apply(Delta{Whole: true, At: pos(2, 30), Records: []Record{rec("k", "99", pos(2, 30))}})) // Delivered late.
 	is.Equal(m.At(), pos(5, 6))
 	is.Equal(values(m)["k"], "9")
-	is.True(!m.Apply(Delta{Base: pos(2, 7), At: pos(6, 9), Records: []Record{rec("k", "99", pos(6, 9))}})) // A gap of an era.
+	is.True(!m.Apply(Delta{Base: pos(2, 7), At: pos(6, 9), Records: []Record{rec("k", "99", pos(6, 9))}})) // Incremental across an era.
 }
 
-// An operator writes versions that rise, and after each copy those that it lost once more. Mirrors
-// read, tell one another what the service says, and tell what they hold: none goes back to an older
-// version, and in the end all have the newest that any of them had.
+// An operator writes increasing versions, and rewrites the lost ones after each restore. Mirrors read
+// the service and exchange deltas and held records. No mirror moves back to an older version, and in
+// the end all have the newest version that any of them had.
 func TestNoVersionThatWasKnownIsTakenBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &service{era: 1}
-		written, again := 0, 0 // The newest version, and up to which one they were written again.
+		written, rewritten := 0, 0 // The newest version, and the last one rewritten after a restore.
 		write := func(v int) {
 			n := uint64(len(s.history) + 1)
 			s.history = append(s.history, rec("k", fmt.Sprintf("%04d", v), NewPosition(s.era, n)))
 		}
 		publish := func() {
-			if again < written {
-				again++
-				write(again)
+			if rewritten < written {
+				rewritten++
+				write(rewritten)
 				return
 			}
 			written++
-			again = written
+			rewritten = written
 			write(written)
 		}
 		publish()
-		ms := []*Mirror{{HoldPolicy: newest}, {HoldPolicy: newest}, {HoldPolicy: newest}}
-		tell := func(from, to *Mirror) {
+		ms := []*Mirror{{HoldPolicy: holdGreater}, {HoldPolicy: holdGreater}, {HoldPolicy: holdGreater}}
+		exchange := func(from, to *Mirror) {
 			for _, h := range from.HeldRecords() {
 				to.Hold(h, epoch)
 			}
 			to.Apply(from.Since(to.At()))
 		}
-		best := ""
+		highest := ""
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			m := ms[rapid.IntRange(0, len(ms)-1).Draw(t, "mirror")]
 			before := values(m)["k"]
@@ -343,33 +345,33 @@
 				publish()
 			case 2:
 				lost := rapid.IntRange(0, min(4, len(s.history)-1)).Draw(t, "lost")
-				s.fallBack(lost)
-				fmt.Sscanf(string(s.history[len(s.history)-1].Value), "%d", &again)
+				s.restoreFromBackup(lost)
+				fmt.Sscanf(string(s.history[len(s.history)-1].Value), "%d", &rewritten)
 			case 3:
-				m.Apply(s.whole())
+				m.Apply(s.snapshot())
 			case 4:
 				if d, ok := s.since(m.At()); ok && m.At() > 0 {
 					m.Apply(d)
 				}
 			default:
-				tell(ms[rapid.IntRange(0, len(ms)-1).Draw(t, "from")], m)
+				exchange(ms[rapid.IntRange(0, len(ms)-1).Draw(t, "from")], m)
 			}
 			now := values(m)["k"]
 			if now < before {
-				t.Fatalf("went back from %s to %s", before, now)
+				t.Fatalf("version fell from %s to %s", before, now)
 			}
-			best = max(best, now)
+			highest = max(highest, now)
 		}
 		for range 2 {
 			for _, from := range ms {
 				for _, to := range ms {
-					tell(from, to)
+					exchange(from, to)
 				}
 			}
 		}
 		for i, m := range ms {
-			if m.At() > 0 && values(m)["k"] < best {
-				t.Fatalf("mirror %d has %q, and one had %s", i, values(m)["k"], best)
+			if m.At() > 0 && values(m)["k"] < highest {
+				t.Fatalf("mirror %d has %q; the newest version held by any was %s", i, values(m)["k"], highest)
 			}
 		}
 	})
--- a/mirror/doc.go
+++ b/mirror/doc.go
@@ -1,16 +1,17 @@
-// Package mirror keeps a copy of what a platform's service publishes.
+// Package mirror keeps a local copy of the records that the platform's store publishes.
 //
-// A service publishes records by key, and each change has a revision of its own
-// in one rising sequence. A Mirror holds the newest record of each key up to one
-// position. What it is told may come in any order, twice, or from another
-// process's Mirror: for each key the latest position wins, so two mirrors that
-// were told the same things are equal, and none goes back.
+// The store publishes records by key and gives each change a revision from one
+// increasing sequence. A Mirror holds the newest record of each key up to one
+// Position. It applies a Delta read from the store or received from another process's
+// Mirror, in any order and more than once: for each key the latest position
+// wins, so mirrors that applied the same deltas are equal, and none moves backwards.
 //
-// A service may come back from a copy of itself. It then lacks its last changes,
-// gives their revisions out again and counts one more era. A Position has the era
-// before the revision, so that what the service says since is later than all that
-// it said before. A whole of a later era takes the place of what a Mirror holds,
-// but for records that outlast it: these are held against the service until it
-// says something that is not older, or for a while. Outlasts decides which, and
-// processes tell one another what they hold.
+// The store may be restored from a backup. It then lacks its last changes, reuses
+// their revisions and increments its era, the number of restores. A Position orders
+// by the era before the revision, so whatever the store publishes after a restore is later than all
+// that it published before. A full snapshot (Delta.Whole) of a later era replaces the
+// contents of a Mirror, except for records that its HoldPolicy holds: the Mirror serves
+// these in place of the restored ones until the store publishes a record that is
+// not older, or until a time limit. Processes exchange their held records (see HeldRecord)
+// so that they agree.
 package mirror
--- a/mirror/held.go
+++ b/mirror/held.go
@@ -6,148 +6,149 @@
 	"time"
 )
 
-// Forever is how long a record outlasts a copy that nothing but news ends.
+// Forever is the duration of a hold that ends only when the store publishes a record that the
+// HoldPolicy prefers.
 const Forever = time.Duration(math.MaxInt64)
 
-// HoldPolicy tells for how long what was known of a key, before a service came back from a copy,
-// holds against what the service says of it since, or 0 where it does not. If the service lacks
-// the key, said is Gone; if what was known is that it was deleted, known is.
-type HoldPolicy func(known, said Record) time.Duration
+// HoldPolicy returns for how long the record known before the store was restored from a backup is
+// held in place of the one that the store publishes since, or 0 to use the published one. published
+// is Gone if the store lacks the key, and known is Gone if the key had been deleted.
+type HoldPolicy func(known, published Record) time.Duration
 
-// HeldRecord is a record that holds against what the service says of its key since it came back from
-// a copy.
+// HeldRecord is a record that is held in place of the one that the store publishes since it was
+// restored from a backup.
 type HeldRecord struct {
 	Record
-	Until time.Time // It holds no longer than this; zero if only news ends it.
+	Until time.Time // When the hold expires; zero if it has no time limit.
 }
 
-// holding is what a Mirror knows of a record that it holds.
-type holding struct {
-	said  Record    // What the service says instead; Gone if it lacks the key.
-	until time.Time // See Held.
+// holdState is the state of a record that a Mirror holds.
+type holdState struct {
+	published Record    // The store's record of the key; Gone if the store lacks the key.
+	until     time.Time // See HeldRecord.Until.
 }
 
-// ends reports whether a time alone ends it.
-func (h holding) ends() bool { return !h.until.IsZero() }
+// expires reports whether the hold has a time limit.
+func (h holdState) expires() bool { return !h.until.IsZero() }
 
-// lacking stands for what a service that lacks a key says of it.
-func lacking(key string, at Position) Record { return Record{Key: key, Rev: at, Gone: true} }
+// tombstone returns a deleted record, for a key that the store lacks.
+func tombstone(key string, at Position) Record { return Record{Key: key, Rev: at, Gone: true} }
 
-// Kinds of a Note.
+// Kinds of an Event.
 const (
-	EventNewEra   = "era"      // The service came back from a copy.
-	EventHeld     = "held"     // A record outlasts what the service says.
-	EventReleased = "released" // What the service says is taken again.
+	EventNewEra   = "era"      // The store was restored from a backup.
+	EventHeld     = "held"     // A record is held in place of the published one.
+	EventReleased = "released" // The hold ended; the published record is used again.
 )
 
-// Event tells of what a Mirror made of a copy.
+// Event reports how a Mirror handles a restore of the store.
 type Event struct {
 	Kind      string
 	Key       string
-	Known     Record // What was known; for NoteEra only its Rev.
-	Published Record // What the service says; Gone if it lacks the key.
+	Known     Record // The record before the restore; for EventNewEra only Rev is set.
+	Published Record // The store's record; Gone if the store lacks the key.
 	Until     time.Time
-	HeldCount int // Records that are held, after NoteEra.
+	HeldCount int // Number of held records, for EventNewEra.
 }
 
-func (m *Mirror) note(n Event) {
+func (m *Mirror) emit(e Event) {
 	if m.OnEvent != nil {
-		m.OnEvent(n)
+		m.OnEvent(e)
 	}
 }
 
-func (m *Mirror) outlasts(known, said Record) time.Duration {
+func (m *Mirror) holdDuration(known, published Record) time.Duration {
 	if m.HoldPolicy == nil || known.Rev == 0 {
 		return 0
 	}
-	return m.HoldPolicy(known, said)
+	return m.HoldPolicy(known, published)
 }
 
-// enterEra takes a whole of a later era. What outlasts the copy is held against it.
+// enterEra applies a snapshot of a later era, and holds the records that the HoldPolicy selects.
 func (m *Mirror) enterEra(d Delta, now time.Time) {
 	before := m.at
-	m.held = map[string]holding{}
+	m.held = map[string]holdState{}
 	m.declined = map[string]Position{}
-	told := make(map[string]bool, len(d.Records))
+	listed := make(map[string]bool, len(d.Records))
 	for _, r := range d.Records {
-		told[r.Key] = true
-		m.compare(m.records[r.Key], r, d, now)
+		listed[r.Key] = true
+		m.reconcile(m.records[r.Key], r, d, now)
 	}
 	for key, old := range m.records {
-		if !told[key] && !old.Gone {
-			m.compare(old, lacking(key, d.At), d, now)
+		if !listed[key] && !old.Gone {
+			m.reconcile(old, tombstone(key, d.At), d, now)
 		}
 	}
-	m.at, m.floor, m.entered = d.At, d.At, d.At
-	m.note(Event{Kind: EventNewEra, Known: Record{Rev: before}, Published: Record{Rev: d.At}, HeldCount: len(m.held)})
+	m.at, m.floor, m.eraStart = d.At, d.At, d.At
+	m.emit(Event{Kind: EventNewEra, Known: Record{Rev: before}, Published: Record{Rev: d.At}, HeldCount: len(m.held)})
 }
 
-// compare takes what a later era says of a key, unless what is known of it is the same change
-// or outlasts that.
-func (m *Mirror) compare(old, r Record, d Delta, now time.Time) {
+// reconcile replaces the known record of a key by that of a later era, unless both are the same
+// change or the known one is to be held.
+func (m *Mirror) reconcile(old, r Record, d Delta, now time.Time) {
 	if old.sameChange(&r) {
 		old.FirstKnownAt = old.FirstPosition()
 		old.Rev = max(old.Rev, r.Rev)
 		m.set(old)
-		m.holdAsTold(old, d)
-		if r.Rev = old.Rev; m.keeps(r.Key) {
-			m.learn(old, r)
+		m.copyHold(old, d)
+		if r.Rev = old.Rev; m.keepsHistory(r.Key) {
+			m.mergeHistory(old, r)
 		}
 		return
 	}
-	if f := m.outlasts(old, r); f > 0 {
-		m.hold(old, r, f, now)
+	if ttl := m.holdDuration(old, r); ttl > 0 {
+		m.hold(old, r, ttl, now)
 		return
 	}
 	if r.Rev <= old.Rev {
-		// Another process holds it, and here it was overtaken by one that is lost.
+		// Another process holds r, and here a change that the restore lost superseded it.
 		r.Rev = min(d.At, NewPosition(d.At.Era(), r.Rev.Revision()))
 	}
-	m.take(old, r, d)
+	m.replace(old, r, d)
 }
 
-// sameChange reports whether two records of a key are of one change, which a copy had.
+// sameChange reports whether two records of a key, before and after a restore, are the same change.
 func (r *Record) sameChange(o *Record) bool {
 	return r.Rev.Revision() == o.Rev.Revision() && r.Gone == o.Gone && bytes.Equal(r.Value, o.Value)
 }
 
-func (m *Mirror) hold(known, said Record, f time.Duration, now time.Time) {
-	h := holding{said: said}
-	if f < Forever {
-		h.until = now.Add(f)
-		time.AfterFunc(f, m.expireNow)
+func (m *Mirror) hold(known, published Record, ttl time.Duration, now time.Time) {
+	h := holdState{published: published}
+	if ttl < Forever {
+		h.until = now.Add(ttl)
+		time.AfterFunc(ttl, m.expireNow)
 	}
 	m.held[known.Key] = h
-	m.note(Event{Kind: EventHeld, Key: known.Key, Known: known, Published: said, Until: h.until})
+	m.emit(Event{Kind: EventHeld, Key: known.Key, Known: known, Published: published, Until: h.until})
 }
 
-// holdAsTold holds a record of an era before that of a whole, as who told of the whole does.
-func (m *Mirror) holdAsTold(r Record, d Delta) {
+// copyHold holds a record whose era is before that of the delta, as the sender of the delta does.
+func (m *Mirror) copyHold(r Record, d Delta) {
 	if r.Rev.Era() < d.At.Era() {
-		m.held[r.Key] = holding{said: lacking(r.Key, d.At)}
+		m.held[r.Key] = holdState{published: tombstone(r.Key, d.At)}
 	}
 }
 
-// release ends that a record is held, where it is.
+// release ends the hold of a key, if there is one.
 func (m *Mirror) release(key string) {
 	h, ok := m.held[key]
 	if !ok {
 		return
 	}
 	delete(m.held, key)
-	m.note(Event{Kind: EventReleased, Key: key, Known: m.records[key], Published: h.said, Until: h.until})
+	m.emit(Event{Kind: EventReleased, Key: key, Known: m.records[key], Published: h.published, Until: h.until})
 }
 
-// stillHeld reports whether a record is held although a whole of the era lacks its key. It is
-// not if the service had the key before, so that it was deleted.
+// stillHeld reports whether a record stays held although a snapshot of the same era lacks its key.
+// It does not if the store had the key earlier in the era, since then the key was deleted.
 func (m *Mirror) stillHeld(r Record) bool {
 	h, ok := m.held[r.Key]
-	if !ok || !h.said.Gone {
+	if !ok || !h.published.Gone {
 		return false
 	}
-	if f := m.outlasts(r, h.said); !h.ends() && f < Forever {
-		h.until = time.Now().Add(f) // Who told of it knew what the service says, and this process does not.
-		time.AfterFunc(f, m.expireNow)
+	if ttl := m.holdDuration(r, h.published); !h.expires() && ttl < Forever {
+		h.until = time.Now().Add(ttl) // The sender of the hold had the published record; this mirror lacks it.
+		time.AfterFunc(ttl, m.expireNow)
 		m.held[r.Key] = h
 	}
 	return true
@@ -155,30 +156,30 @@
 
 func (m *Mirror) expireNow() { m.expire(time.Now()) }
 
-// expire takes what the service says in the place of records whose time is over.
+// expire replaces the records whose hold has expired by the published ones.
 func (m *Mirror) expire(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	changed := false
 	for key, h := range m.held {
-		if !h.ends() || now.Before(h.until) {
+		if !h.expires() || now.Before(h.until) {
 			continue
 		}
 		m.release(key)
 		old := m.records[key]
-		if !h.said.Gone {
-			m.take(old, h.said, Delta{})
+		if !h.published.Gone {
+			m.replace(old, h.published, Delta{})
 		} else if !old.Gone {
 			m.set(Record{Key: key, Value: old.Value, Rev: m.at, Gone: true})
 		}
 		changed = true
 	}
 	if changed {
-		m.wake()
+		m.notify()
 	}
 }
 
-// HeldRecords returns the records that are held.
+// HeldRecords returns the held records, in no order.
 func (m *Mirror) HeldRecords() []HeldRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -189,18 +190,19 @@
 	return out
 }
 
-// NeedsHeld reports whether a record that another process holds may be news here.
+// NeedsHeld reports whether this mirror may lack a record that another process holds, so that it
+// should be requested.
 func (m *Mirror) NeedsHeld(key string, at Position) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.at > 0 && at.Era() < m.at.Era() && m.records[key].Rev != at && m.declined[key] != at
 }
 
-// maxDeclined bounds the records of others that are remembered as declined.
+// maxDeclined bounds the number of peers' held records that are remembered as declined.
 const maxDeclined = 4096
 
-// Hold holds a record as another process does, unless something newer is known, and reports
-// whether it does so.
+// Hold holds a record that another process holds, unless the mirror has a newer one, and reports
+// whether it does.
 func (m *Mirror) Hold(o HeldRecord, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -209,31 +211,31 @@
 	}
 	old := m.records[o.Key]
 	h, isHeld := m.held[o.Key]
-	said := old
+	published := old
 	switch {
 	case isHeld:
-		said = h.said
+		published = h.published
 	case old.Rev == 0 || old.Gone:
-		said = lacking(o.Key, m.at)
+		published = tombstone(o.Key, m.at)
 	}
-	left := m.outlasts(o.Record, said)
+	remaining := m.holdDuration(o.Record, published)
 	if !o.Until.IsZero() {
-		left = min(left, o.Until.Sub(now))
+		remaining = min(remaining, o.Until.Sub(now))
 	}
-	if left <= 0 || !m.outranks(&o.Record, &old, isHeld) {
+	if remaining <= 0 || !m.supersedes(&o.Record, &old, isHeld) {
 		m.decline(o.Key, o.Rev)
 		return false
 	}
 	r := o.Record
-	if m.keeps(r.Key) {
-		m.kept[r.Key] = true
+	if m.keepsHistory(r.Key) {
+		m.historyKeys[r.Key] = true
 		if isHeld && r.Rev > old.Rev {
-			r = joined(old, r)
+			r = mergeRecords(old, r)
 		}
 	}
 	m.set(r)
-	m.hold(r, said, left, now)
-	m.wake()
+	m.hold(r, published, remaining, now)
+	m.notify()
 	return true
 }
 
@@ -244,16 +246,16 @@
 	m.declined[key] = at
 }
 
-// outranks reports whether a record that another process holds is to be held in the place of
-// what is known here.
-func (m *Mirror) outranks(o, old *Record, isHeld bool) bool {
+// supersedes reports whether a record o that another process holds is to be held in place of the
+// local record old.
+func (m *Mirror) supersedes(o, old *Record, isHeld bool) bool {
 	switch {
 	case old.Rev == 0:
 		return true
 	case old.Gone:
 		return o.Rev > old.Rev
-	case m.outlasts(*o, *old) > 0:
-		return !o.Gone || old.Rev <= m.entered // Since then it was written again.
+	case m.holdDuration(*o, *old) > 0:
+		return !o.Gone || old.Rev <= m.eraStart // Otherwise the key was written again after its deletion.
 	}
-	return isHeld && o.Rev > old.Rev && m.outlasts(*old, *o) == 0
+	return isHeld && o.Rev > old.Rev && m.holdDuration(*old, *o) == 0
 }
--- a/mirror/history_test.go
+++ b/mirror/history_test.go
@@ -10,65 +10,65 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A gateway that was cut off while two versions were named read the newest alone, and knew
-// that what it had missed may have been named 3.6 s before. It let requests begin on an older
-// version until 9.3 s after the first of the two was named, of 8 s: another gateway, which had
-// seen the first, had told it how old anything that it itself had missed may be, and it took
-// that for what it had missed.
+// The bound for unknown earlier changes must not be taken from another process. A gateway that was
+// partitioned while two target versions were set read only the second, and its own bound for the
+// first was 3.6 s before that. It used the later bound of another gateway, which had
+// seen the first version and so missed less, and started requests on an older version up to 9.3 s
+// after the first of the two was set, where 8 s are allowed.
 func TestGapOfAnotherIsNotTaken(t *testing.T) {
 	is := is.New(t)
 	const key = "version"
 	at := func(s int) time.Time { return epoch.Add(time.Duration(s) * time.Second) }
-	read := func(m *Mirror, rev Position, complete time.Time) {
-		m.Apply(Delta{At: rev, Whole: true, Records: []Record{{Key: key, Rev: rev}}, NotBefore: complete})
+	read := func(m *Mirror, rev Position, completeAt time.Time) {
+		m.Apply(Delta{At: rev, Whole: true, Records: []Record{{Key: key, Rev: rev}}, NotBefore: completeAt})
 	}
 	var cut, other Mirror
 	read(&cut, 3, at(0))
 	read(&other, 3, at(0))
-	read(&other, 5, at(10)) // Made at 11.
-	read(&other, 6, at(12)) // Made at 13.
-	read(&cut, 6, at(10))   // It knew all until 10, and missed 5.
-	told := other.WithHistory(at(0))[0]
-	cut.UpdateNotBefore(key, 6, told.NotBefore)
+	read(&other, 5, at(10)) // Changed at 11.
+	read(&other, 6, at(12)) // Changed at 13.
+	read(&cut, 6, at(10))   // It was up to date until 10, and missed 5.
+	peerRecord := other.WithHistory(at(0))[0]
+	cut.UpdateNotBefore(key, 6, peerRecord.NotBefore)
 	rs, _ := cut.Records()
 	got := rs[key]
-	is.Equal(got.NotBefore, at(12))    // When 6 was made is the same for both,
-	is.Equal(got.GapNotBefore, at(10)) // what came before it is not.
+	is.Equal(got.NotBefore, at(12))    // The time of change 6 is the same for both;
+	is.Equal(got.GapNotBefore, at(10)) // that of the changes before it is not.
 }
 
-// change is one change of a key, and when it was made.
-type change struct {
+// madeChange is one change of a key, with its time.
+type madeChange struct {
 	rev  Position
 	made time.Time
 }
 
-// Mirrors read a key now and then, and tell each other its history, whole or the date of the
-// newest change. What a mirror believes of when a change that it knows was made is never later
-// than it was, and neither is what it believes of those that it does not know.
+// Mirrors read a key from time to time, and send one another either its whole history or the time of
+// its newest change. A mirror's lower bound of the time of a change is never after
+// that time, neither for changes that it has nor for those that it missed.
 func TestTimesAreNeverTooLate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const key, mirrors = "k", 3
-		var made []change
+		var made []madeChange
 		now := epoch
 		all := make([]Mirror, mirrors)
-		complete := [mirrors]time.Time{epoch, epoch, epoch} // When each last knew all.
+		completeAt := [mirrors]time.Time{epoch, epoch, epoch} // When each mirror was last up to date.
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
 			now = now.Add(time.Second)
 			i := rapid.IntRange(0, mirrors-1).Draw(t, "mirror")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				made = append(made, change{Position(len(made) + 1), now})
+				made = append(made, madeChange{Position(len(made) + 1), now})
 			case 1:
 				if len(made) > 0 {
 					newest := made[len(made)-1]
-					all[i].Apply(Delta{At: newest.rev, Whole: true, Records: []Record{{Key: key, Rev: newest.rev}}, NotBefore: complete[i]})
-					complete[i] = now
+					all[i].Apply(Delta{At: newest.rev, Whole: true, Records: []Record{{Key: key, Rev: newest.rev}}, NotBefore: completeAt[i]})
+					completeAt[i] = now
 				}
 			case 2:
 				from := rapid.IntRange(0, mirrors-1).Draw(t, "from")
 				all[i].Apply(all[from].Since(0))
-				if all[from].At() > 0 && complete[from].After(complete[i]) {
-					complete[i] = complete[from]
+				if all[from].At() > 0 && completeAt[from].After(completeAt[i]) {
+					completeAt[i] = completeAt[from]
 				}
 			default:
 				for _, r := range all[rapid.IntRange(0, mirrors-1).Draw(t, "from")].WithHistory(epoch.Add(-time.Hour)) {
@@ -77,20 +77,20 @@
 			}
 			rs, _ := all[i].Records()
 			r := rs[key]
-			neverTooLate(t, r.history(), made)
+			checkLowerBounds(t, r.history(), made)
 		}
 	})
 }
 
-func neverTooLate(t *rapid.T, known []Record, made []change) {
+func checkLowerBounds(t *rapid.T, known []Record, made []madeChange) {
 	before := Position(0)
 	for _, r := range known {
 		for _, c := range made {
 			if c.rev == r.Rev && r.NotBefore.After(c.made) {
-				t.Fatalf("%d was made at %v, and is taken to have been made at %v or later", c.rev, c.made.Sub(epoch), r.NotBefore.Sub(epoch))
+				t.Fatalf("change %d was made at %v, and its lower bound is %v", c.rev, c.made.Sub(epoch), r.NotBefore.Sub(epoch))
 			}
 			if c.rev > before && c.rev < r.Rev && r.GapNotBefore.After(c.made) {
-				t.Fatalf("%d, which is not known, was made at %v; what came before %d is taken to have come at %v or later",
+				t.Fatalf("unknown change %d was made at %v; the lower bound for the gap before %d is %v",
 					c.rev, c.made.Sub(epoch), r.Rev, r.GapNotBefore.Sub(epoch))
 			}
 		}
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -13,25 +13,25 @@
 	Value []byte
 	Rev   Position
 	Gone  bool // Deleted at Rev.
-	// FirstKnownAt is the position at which this process first knew of the change, if that is before
-	// Rev: the service came back from a copy that has the change. Others are not told of it.
+	// FirstKnownAt is the position at which this process first received the change, if that is
+	// before Rev: the store was restored from a backup that contains the change. It is not sent.
 	FirstKnownAt Position `msgpack:"-"`
-	// NotBefore is a time before which the change was not made: a lower bound, and further
-	// back is always safe. It is zero if nothing is proved, by this process's clock, and
-	// travels as an age.
+	// NotBefore is a proven lower bound of the time at which the change was made, by this
+	// process's clock; an earlier bound is always safe. It is zero if nothing is proven, and is
+	// sent as an age.
 	NotBefore time.Time `msgpack:"-"`
-	// GapNotBefore is the same of any change between this one and the one before it that is
-	// known.
+	// GapNotBefore is the same bound for any change between this one and the previous known
+	// one.
 	GapNotBefore time.Time `msgpack:"-"`
-	// AssumedNotBefore is a time before which this process takes the change not to have been made,
-	// for want of proof: an allowance and no bound. Others are not told of it.
+	// AssumedNotBefore is the time before which this process assumes, without proof, that the
+	// change was not made. It is an allowance rather than a bound, and is not sent.
 	AssumedNotBefore time.Time `msgpack:"-"`
-	// Earlier are the key's changes before this one, the oldest first, where
-	// Mirror.KeepsHistory holds. They have neither Key nor Earlier.
+	// Earlier lists the key's previous changes, oldest first, for keys that
+	// Mirror.KeepsHistory selects. Its records have neither Key nor Earlier.
 	Earlier []Record
 }
 
-// FirstPosition returns the position at which the change was first known.
+// FirstPosition returns the position at which this process first received the change.
 func (r *Record) FirstPosition() Position {
 	if r.FirstKnownAt > 0 {
 		return r.FirstKnownAt
@@ -39,20 +39,19 @@
 	return r.Rev
 }
 
-// Delta is what a reader at position Base lacks up to position At.
+// Delta holds the changes that take a reader from position Base to position At.
 type Delta struct {
 	Base    Position
 	At      Position
-	Whole   bool // Records are all that exist; whatever else the reader has is gone.
+	Whole   bool // A full snapshot: keys that Records does not list do not exist.
 	Records []Record
-	// NotBefore is a time before which nothing that the reader lacked was made, as is proved,
-	// and Doubted one before which it takes nothing to have been made. Records that it has
-	// already may be older.
+	// NotBefore is a proven lower bound of the times of all changes that the reader did not have,
+	// and AssumedNotBefore an assumed one. Records that it has already may be older.
 	NotBefore        time.Time `msgpack:"-"`
 	AssumedNotBefore time.Time `msgpack:"-"`
 }
 
-// NotApplied returns how many records of a delta that was applied are not what the mirror
+// NotApplied returns how many records of an applied delta differ from those that the mirror
 // holds, and the key of one of them.
 func (m *Mirror) NotApplied(d Delta) (n int, key string) {
 	m.mu.Lock()
@@ -65,7 +64,7 @@
 	return n, key
 }
 
-// Bytes returns the size of the values of d.
+// Bytes returns the total size of the keys and values of d.
 func (d *Delta) Bytes() int {
 	n := 0
 	for _, r := range d.Records {
@@ -74,47 +73,47 @@
 	return n
 }
 
-// maxGone bounds the deleted records that a Mirror remembers. A reader from
-// before the forgotten ones is sent the whole.
-const maxGone = 4096
+// maxTombstones bounds the number of deleted records that a Mirror keeps. A reader whose position is
+// before the evicted ones receives a full snapshot.
+const maxTombstones = 4096
 
-// Mirror is a copy of published records. The zero value is empty. Methods are
-// safe for use by many goroutines.
+// Mirror is a copy of published records. The zero value is an empty mirror. Its methods
+// are safe for concurrent use.
 type Mirror struct {
-	// KeepsHistory reports for which keys a record remembers the changes before it; if nil, for all.
+	// KeepsHistory reports whether records of a key keep their previous changes; if nil, all do.
 	KeepsHistory func(key string) bool
 
-	// HoldPolicy says what holds when the service comes back from a copy; if nil, nothing does.
+	// HoldPolicy selects the records to hold when the store is restored; if nil, none are held.
 	HoldPolicy HoldPolicy
-	// OnEvent, if set, is told what is made of a copy. It must not call the mirror.
+	// OnEvent, if set, is called for each Event. It must not call the mirror.
 	OnEvent func(Event)
 
-	mu      sync.Mutex
-	at      Position // Every change up to it is in records; never falls.
-	floor   Position // Deletions up to it may have been forgotten.
-	entered Position // Of the first whole of at's era.
-	gone    int
-	records map[string]Record // Deleted ones have the value that they had.
-	kept    map[string]bool   // Keys of records that remember the changes before them.
-	// held are the keys of records that hold against what the service says, and declined the
-	// records that others hold and that do not here; of at's era.
-	held     map[string]holding
+	mu          sync.Mutex
+	at          Position          // All changes up to here are in records; never decreases.
+	floor       Position          // Deletions up to here may have been evicted.
+	eraStart    Position          // Position of the first snapshot of the current era.
+	tombstones  int               // Deleted records in records.
+	records     map[string]Record // Deleted records keep their last value.
+	historyKeys map[string]bool   // Keys whose records keep their history.
+	// held has the records that are held in place of what the store publishes, by key. declined has
+	// the positions of records that peers hold and this mirror rejected. Both are of the current era.
+	held     map[string]holdState
 	declined map[string]Position
-	changed  chan struct{} // Closed and replaced at each change.
+	changed  chan struct{} // Closed and replaced on each change.
 }
 
 func (m *Mirror) init() {
 	if m.records == nil {
-		m.records, m.kept = map[string]Record{}, map[string]bool{}
-		m.held, m.declined = map[string]holding{}, map[string]Position{}
+		m.records, m.historyKeys = map[string]Record{}, map[string]bool{}
+		m.held, m.declined = map[string]holdState{}, map[string]Position{}
 		m.changed = make(chan struct{})
 	}
 }
 
-// Apply takes a delta. One that starts after the mirror's position would leave a
-// gap and is refused, and so is one of a later era that is not whole; one that ends
-// before it changes nothing. It reports whether the mirror now holds every change
-// up to d.At.
+// Apply applies a delta and reports whether the mirror now holds every change up to
+// d.At. It refuses a delta that starts after the mirror's position, which would leave
+// a gap, and an incremental delta of a later era. A delta that ends before the mirror's
+// position changes nothing.
 func (m *Mirror) Apply(d Delta) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -124,70 +123,70 @@
 	}
 	if d.Whole && m.at > 0 && d.At.Era() > m.at.Era() {
 		m.enterEra(d, time.Now())
-		m.wake()
+		m.notify()
 		return true
 	}
 	if d.Whole && m.at == 0 {
-		m.entered = d.At
+		m.eraStart = d.At
 	}
 	changed := false
 	for _, r := range d.Records {
-		changed = m.put(r, d) || changed
+		changed = m.applyRecord(r, d) || changed
 	}
 	if d.Whole && d.At >= m.at {
-		changed = m.dropOthers(d) || changed
+		changed = m.deleteUnlisted(d) || changed
 	}
 	if d.At > m.at {
 		m.at = d.At
 		changed = true
 	}
 	if changed {
-		m.wake()
+		m.notify()
 	}
 	return true
 }
 
-func (m *Mirror) wake() {
+func (m *Mirror) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-func (m *Mirror) keeps(key string) bool { return m.KeepsHistory == nil || m.KeepsHistory(key) }
+func (m *Mirror) keepsHistory(key string) bool { return m.KeepsHistory == nil || m.KeepsHistory(key) }
 
-// put takes a record of a delta.
-func (m *Mirror) put(r Record, d Delta) bool {
+// applyRecord applies one record of a delta and reports whether the mirror changed.
+func (m *Mirror) applyRecord(r Record, d Delta) bool {
 	old, ok := m.records[r.Key]
-	if ok && old.Rev == r.Rev && m.keeps(r.Key) {
-		return m.learn(old, r)
+	if ok && old.Rev == r.Rev && m.keepsHistory(r.Key) {
+		return m.mergeHistory(old, r)
 	}
 	if r.Rev <= m.at {
-		return false // It is here already, or what overtook it is, which may be a deletion that was forgotten.
+		return false // Already applied, or superseded, possibly by a deletion that was evicted.
 	}
 	if ok && old.Rev >= r.Rev {
 		return false
 	}
 	if !r.Gone && !old.Gone && old.Rev.Era() < r.Rev.Era() {
-		if f := m.outlasts(old, r); f > 0 {
-			m.hold(old, r, f, time.Now())
+		if ttl := m.holdDuration(old, r); ttl > 0 {
+			m.hold(old, r, ttl, time.Now())
 			return false
 		}
 	}
 	m.release(r.Key)
-	m.take(old, r, d)
-	if m.gone > maxGone {
-		m.forget()
+	m.replace(old, r, d)
+	if m.tombstones > maxTombstones {
+		m.evictTombstones()
 	}
 	return true
 }
 
-// take has a record of a delta in the place of the one before it.
-func (m *Mirror) take(old, r Record, d Delta) {
+// replace stores a record of a delta in place of the previous one.
+func (m *Mirror) replace(old, r Record, d Delta) {
 	r.NotBefore, r.AssumedNotBefore = times.Later(r.NotBefore, d.NotBefore), d.AssumedNotBefore
-	m.holdAsTold(r, d)
-	if m.keeps(r.Key) {
+	m.copyHold(r, d)
+	if m.keepsHistory(r.Key) {
 		r.GapNotBefore = times.Later(r.GapNotBefore, d.NotBefore)
-		r = joined(old, r.doubted(d.AssumedNotBefore))
-		m.kept[r.Key] = true
+		r = mergeRecords(old, r.withAssumedTimes(d.AssumedNotBefore))
+		m.historyKeys[r.Key] = true
 	}
 	if r.Gone {
 		r.Value = old.Value
@@ -197,36 +196,36 @@
 
 func (m *Mirror) set(r Record) {
 	if m.records[r.Key].Gone {
-		m.gone--
+		m.tombstones--
 	}
 	if r.Gone {
-		m.gone++
+		m.tombstones++
 	}
 	m.records[r.Key] = r
 }
 
-// learn takes what another process knows of a record that is here, and reports whether
-// anything of it is new.
-func (m *Mirror) learn(old, r Record) bool {
-	r = joined(old, r)
+// mergeHistory merges the history that another process has of a record held here, and reports
+// whether any of it is new.
+func (m *Mirror) mergeHistory(old, r Record) bool {
+	r = mergeRecords(old, r)
 	r.FirstKnownAt = old.FirstKnownAt
 	m.records[r.Key] = r
 	return !r.SameHistory(&old)
 }
 
-// dropOthers deletes what a whole does not hold. A record that is newer than the
-// whole is kept.
-func (m *Mirror) dropOthers(d Delta) bool {
+// deleteUnlisted deletes the records that a snapshot does not list. Records newer than the
+// snapshot stay.
+func (m *Mirror) deleteUnlisted(d Delta) bool {
 	if d.At > m.at {
-		m.floor = d.At // What was deleted on the way here is not known.
+		m.floor = d.At // Deletions between the two positions are unknown.
 	}
-	kept := make(map[string]bool, len(d.Records))
+	listed := make(map[string]bool, len(d.Records))
 	for _, r := range d.Records {
-		kept[r.Key] = true
+		listed[r.Key] = true
 	}
 	changed := false
 	for k, r := range m.records {
-		if kept[k] || r.Rev > d.At || m.stillHeld(r) {
+		if listed[k] || r.Rev > d.At || m.stillHeld(r) {
 			continue
 		}
 		m.release(k)
@@ -238,24 +237,25 @@
 	return changed
 }
 
-func (m *Mirror) forget() {
+func (m *Mirror) evictTombstones() {
 	for k, r := range m.records {
 		if _, isHeld := m.held[k]; r.Gone && !isHeld {
 			m.floor = max(m.floor, r.Rev)
 			delete(m.records, k)
-			delete(m.kept, k)
-			m.gone--
+			delete(m.historyKeys, k)
+			m.tombstones--
 		}
 	}
 }
 
-// Since returns what a reader at a position lacks.
+// Since returns the changes after a position. It is a full snapshot where the deletions
+// since then may have been evicted.
 func (m *Mirror) Since(rev Position) Delta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := Delta{Base: rev, At: m.at, Whole: rev < m.floor || rev == 0}
 	for key := range m.records {
-		r := m.told(key)
+		r := m.peerRecord(key)
 		if r.Rev > rev && !d.Whole || d.Whole && !r.Gone {
 			d.Records = append(d.Records, r)
 		}
@@ -263,12 +263,12 @@
 	return d
 }
 
-// told is what other mirrors are told of a key. What is held for a while is left out: they would
-// not learn of its end.
-func (m *Mirror) told(key string) Record {
+// peerRecord returns the record of a key that is sent to other mirrors. A record that is held for a
+// limited time is replaced by the published one: other mirrors would not notice when the hold expires.
+func (m *Mirror) peerRecord(key string) Record {
 	r := m.records[key]
-	if h := m.held[key]; h.ends() {
-		r = h.said
+	if h := m.held[key]; h.expires() {
+		r = h.published
 	}
 	if r.Gone {
 		r.Value = nil
@@ -276,7 +276,7 @@
 	return r
 }
 
-// Watch returns the mirror's position and a channel that is closed at the next
+// Watch returns the mirror's position and a channel that is closed on the next
 // change.
 func (m *Mirror) Watch() (Position, <-chan struct{}) {
 	m.mu.Lock()
@@ -285,13 +285,13 @@
 	return m.at, m.changed
 }
 
-// At returns the position up to which the mirror holds every change.
+// At returns the position up to which the mirror has applied every change.
 func (m *Mirror) At() Position {
 	at, _ := m.Watch()
 	return at
 }
 
-// Records returns the records that exist, by key, and their position.
+// Records returns the existing records by key, and the mirror's position.
 func (m *Mirror) Records() (map[string]Record, Position) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-// publish draws a history of a service: each change has the next revision.
-func publish(t *rapid.T) []Record {
+// drawHistory draws the history of a store: each change has the next revision.
+func drawHistory(t *rapid.T) []Record {
 	n := rapid.IntRange(1, 30).Draw(t, "changes")
 	var out []Record
 	for rev := range n {
@@ -25,12 +25,12 @@
 	return out
 }
 
-func draw(t *rapid.T, least, most Position, label string) Position {
-	return Position(rapid.Uint64Range(uint64(least), uint64(most)).Draw(t, label))
+func drawPosition(t *rapid.T, lo, hi Position, label string) Position {
+	return Position(rapid.Uint64Range(uint64(lo), uint64(hi)).Draw(t, label))
 }
 
-// at returns what exists after the first n changes.
-func at(history []Record, n Position) map[string]Position {
+// existingAt returns the revisions of the keys that exist after the first n changes.
+func existingAt(history []Record, n Position) map[string]Position {
 	out := map[string]Position{}
 	for _, r := range history[:n] {
 		out[r.Key] = r.Rev
@@ -41,7 +41,7 @@
 	return out
 }
 
-func held(m *Mirror) map[string]Position {
+func revisions(m *Mirror) map[string]Position {
 	rs, _ := m.Records()
 	out := map[string]Position{}
 	for k, r := range rs {
@@ -50,9 +50,9 @@
 	return out
 }
 
-func whole(history []Record, n Position) Delta {
+func snapshotAt(history []Record, n Position) Delta {
 	d := Delta{At: n, Whole: true}
-	exists := at(history, n)
+	exists := existingAt(history, n)
 	for _, r := range history[:n] {
 		if exists[r.Key] == r.Rev {
 			d.Records = append(d.Records, r)
@@ -61,12 +61,12 @@
 	return d
 }
 
-// Mirrors that are told parts of a history, wholes, and what other mirrors hold,
-// in any order and twice, never go back, and hold exactly what exists at the
-// revision that they say.
+// Mirrors that apply parts of a history, snapshots and the deltas of other mirrors, in
+// any order and repeatedly, never move backwards, and hold exactly the records that
+// exist at their position.
 func TestMirrorsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		history := publish(t)
+		history := drawHistory(t)
 		last := Position(len(history))
 		ms := []*Mirror{{}, {}, {}}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -74,18 +74,18 @@
 			before := m.At()
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				from := draw(t, 0, last, "from")
-				to := draw(t, from, last, "to")
+				from := drawPosition(t, 0, last, "from")
+				to := drawPosition(t, from, last, "to")
 				m.Apply(Delta{Base: from, At: to, Records: slices.Clone(history[from:to])})
 			case 1:
-				m.Apply(whole(history, draw(t, 0, last, "of")))
+				m.Apply(snapshotAt(history, drawPosition(t, 0, last, "of")))
 			case 2:
 				m.Apply(ms[rapid.IntRange(0, 2).Draw(t, "other")].Since(before))
 			}
 			if m.At() < before {
-				t.Fatalf("fell from %d to %d", before, m.At())
+				t.Fatalf("position fell from %d to %d", before, m.At())
 			}
-			if got, want := held(m), at(history, m.At()); !maps.Equal(got, want) {
+			if got, want := revisions(m), existingAt(history, m.At()); !maps.Equal(got, want) {
 				t.Fatalf("at %d: holds %v, want %v", m.At(), got, want)
 			}
 		}
--- a/mirror/position.go
+++ b/mirror/position.go
@@ -9,23 +9,23 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Position is a place in the sequence of changes that a service published. A service may come
-// back from a copy: it then lacks its last changes, gives their revisions out again, and counts
-// one more era. Positions are ordered by their era first. The zero value is before all others;
-// where no era is named it is 0, and a position is the same number as its revision.
+// Position is a place in the sequence of changes that a store published. A store restored from a
+// backup lacks its last changes, reuses their revisions and increments its era. Positions are
+// ordered by era, then by revision. The zero value is before all others. A store that reports no era
+// has era 0, and its positions equal their revisions.
 type Position uint64
 
-// Bounds of what a Position holds.
+// Limits of the parts of a Position.
 const (
 	revisionBits = 40
 	MaxRevision  = 1<<revisionBits - 1
 	MaxEra       = 1<<(64-revisionBits) - 1
 )
 
-// NewPosition returns the position of a revision in an era. Neither may exceed its bound.
+// NewPosition returns the position of a revision in an era. Neither may exceed its limit.
 func NewPosition(era, revision uint64) Position { return Position(era<<revisionBits | revision) }
 
-// Era returns how often the service has come back from a copy, by its own count.
+// Era returns the number of times that the store has been restored, by its own count.
 func (p Position) Era() uint64 { return uint64(p) >> revisionBits }
 
 // Revision returns the revision in the position's era.
@@ -44,8 +44,9 @@
 	_ msgpack.CustomDecoder = (*Position)(nil)
 )
 
-// positionFields is how many numbers a position of an era travels as: era and revision, which
-// are short beside the one number. Without an era it travels as its revision.
+// positionFields is the length of the array that encodes a position with an era: era and
+// revision, which take fewer bytes than the combined number. A position without an era is encoded
+// as its revision alone.
 const positionFields = 2
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
@@ -86,7 +87,7 @@
 		return err
 	}
 	if era > MaxEra || revision > MaxRevision {
-		return fault.New(fault.Garbage, "position out of bounds")
+		return fault.New(fault.Garbage, "position: era or revision out of bounds")
 	}
 	*p = NewPosition(era, revision)
 	return nil
--- a/mirror/position_test.go
+++ b/mirror/position_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestLaterEraIsLaterWhateverTheRevision(t *testing.T) {
+func TestPositionsAreOrderedByEraFirst(t *testing.T) {
 	is := is.New(t)
 	is.True(NewPosition(2, 1) > NewPosition(1, MaxRevision))
 	is.True(NewPosition(1, 1) > NewPosition(0, MaxRevision))
@@ -17,8 +17,8 @@
 	is.Equal(NewPosition(0, 9).String(), "9")
 }
 
-// A build that knows no eras reads and writes positions as plain numbers.
-func TestPositionWithoutAnEraTravelsAsItsRevision(t *testing.T) {
+// A build without eras reads and writes positions as plain numbers.
+func TestPositionWithoutEraIsEncodedAsRevision(t *testing.T) {
 	is := is.New(t)
 	b, err := msgpack.Marshal(NewPosition(0, 6000))
 	is.NoErr(err)
@@ -32,7 +32,7 @@
 	is.Equal(p, NewPosition(0, 6000))
 }
 
-func TestPositionsTravel(t *testing.T) {
+func TestPositionEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := NewPosition(rapid.Uint64Range(0, MaxEra).Draw(t, "era"), rapid.Uint64Range(0, MaxRevision).Draw(t, "revision"))
 		b, err := msgpack.Marshal(want)
@@ -46,14 +46,14 @@
 	})
 }
 
-func TestBadPositionsAreRefused(t *testing.T) {
+func TestBadPositionsAreRejected(t *testing.T) {
 	is := is.New(t)
 	for _, bad := range []any{"x", -1, uint64(MaxRevision + 1), []uint64{1}, []uint64{1, 2, 3}, []uint64{MaxEra + 1, 1}, []uint64{1, MaxRevision + 1}, nil, 1.5} {
 		b, err := msgpack.Marshal(bad)
 		is.NoErr(err)
 		p := NewPosition(1, 1)
 		if msgpack.Unmarshal(b, &p) == nil && bad != nil {
-			t.Errorf("%v was read as %v", bad, p)
+			t.Errorf("%v was decoded as %v", bad, p)
 		}
 	}
 }
