--- a/mirror/doc.go
+++ b/mirror/doc.go
@@ -7,11 +7,10 @@
 // wins, so mirrors that applied the same deltas are equal, and none moves backwards.
 //
 // The store may be restored from a backup. It then lacks its last changes, reuses
-// their revisions and increments its era, the number of restores. A Position orders
-// by the era before the revision, so whatever the store publishes after a restore is later than all
-// that it published before. A full snapshot (Delta.Whole) of a later era replaces the
-// contents of a Mirror, except for records that its HoldPolicy holds: the Mirror serves
-// these in place of the restored ones until the store publishes a record that is
-// not older, or until a time limit. Processes exchange their held records (see HeldRecord)
-// so that they agree.
+// their revisions and increments its era. Positions are ordered by era first and then by
+// revision, so whatever the store publishes after a restore is later than all that it
+// published before. A full snapshot (Delta.Whole) of a later era replaces the contents of a
+// Mirror, except for records that its HoldPolicy selects: the Mirror holds these in place
+// of the restored ones until the store publishes a record that is not older, or until
+// a time limit. Processes exchange their held records (see HeldRecord) so that they agree.
 package mirror
--- a/mirror/position.go
+++ b/mirror/position.go
@@ -25,7 +25,7 @@
 // NewPosition returns the position of a revision in an era. Neither may exceed its limit.
 func NewPosition(era, revision uint64) Position { return Position(era<<revisionBits | revision) }
 
-// Era returns the number of times that the store has been restored, by its own count.
+// Era returns the era, which the store increments each time it is restored from a backup.
 func (p Position) Era() uint64 { return uint64(p) >> revisionBits }
 
 // Revision returns the revision in the position's era.
