--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,8 +1,8 @@
-// Package catalog joins what a process believes of the published state: the
-// configuration, the upstreams and the versions that are wanted.
+// Package catalog combines the published state that a process knows: the
+// configuration, the upstreams and the target version of each model.
 //
-// A Catalog is an immutable snapshot. A Holder keeps the newest; the version of
-// the configuration in force never falls.
+// A Catalog is an immutable snapshot. A Holder keeps the newest one and notifies its
+// watchers; the position and the configuration's version never decrease.
 package catalog
 
 import (
@@ -16,46 +16,47 @@
 	"github.com/poststand/poststand/mirror"
 )
 
-// TargetChange is one naming of a version.
+// TargetChange is one change of a model's target version.
 type TargetChange struct {
 	Version uint64
-	SetAt   time.Time // Not before it, as far as this process knows.
+	SetAt   time.Time // The earliest time at which it may have been set, as far as this process knows.
 }
 
-// Target is what was named for a model's weights.
+// Target is the target version of a model's weights.
 type Target struct {
 	Version uint64         // The newest.
-	Changes []TargetChange // The last ones, in their order.
+	Changes []TargetChange // The last changes, oldest first.
 }
 
-// MaxChanges bounds the steps that a Wanted remembers.
+// MaxChanges bounds the number of changes that a Target keeps.
 const MaxChanges = 32
 
-// With returns w with one more step. Of too many, the oldest two become one that is as old
-// as the first: what either overtook must get no more time. When the oldest of eight was
-// forgotten, 333 requests began on a version whose time was over, on a day with 12 namings
-// 0.7 s apart.
-func (w Target) With(s TargetChange) Target {
-	steps := append(slices.Clone(w.Changes), s)
-	for i := range steps {
-		// Those before it were named before it. One that is heard of late, without a proof of
-		// its time, else looks younger than what overtook it: a gateway took one for 5.5 s old
-		// and the next for 11.8, and let requests begin on the version before 14 s after it.
-		steps[i].SetAt = times.Earlier(steps[i].SetAt, s.SetAt)
+// With returns t with one more change. Of too many changes, the oldest two are merged into one with
+// the time of the first, so that the versions that either superseded get no additional time. Dropping
+// the oldest of eight changes instead let 333 requests start on a version past its time limit, when 12
+// target versions were set 0.7 s apart.
+func (t Target) With(c TargetChange) Target {
+	changes := append(slices.Clone(t.Changes), c)
+	for i := range changes {
+		// Earlier changes were made before this one. Without this bound, a change that was received late
+		// and without a proven time appears to be younger than the changes that superseded it: a gateway
+		// assumed an age of 5.5 s for one change and of 11.8 s for the next, and started requests on the
+		// version before them until 14 s after it was superseded.
+		changes[i].SetAt = times.Earlier(changes[i].SetAt, c.SetAt)
 	}
-	if len(steps) > MaxChanges {
-		steps[1].SetAt = steps[0].SetAt
-		steps = steps[1:]
+	if len(changes) > MaxChanges {
+		changes[1].SetAt = changes[0].SetAt
+		changes = changes[1:]
 	}
-	return Target{Version: max(w.Version, s.Version), Changes: steps}
+	return Target{Version: max(t.Version, c.Version), Changes: changes}
 }
 
-// SupersededAt returns when the first version newer than v was named, or zero if
+// SupersededAt returns when the first version newer than v was set, or zero if
 // none was.
-func (w Target) SupersededAt(v uint64) time.Time {
-	for _, s := range w.Changes {
-		if s.Version > v {
-			return s.SetAt
+func (t Target) SupersededAt(v uint64) time.Time {
+	for _, c := range t.Changes {
+		if c.Version > v {
+			return c.SetAt
 		}
 	}
 	return time.Time{}
@@ -63,10 +64,10 @@
 
 // Catalog is one snapshot. Nothing in it changes once it is published.
 type Catalog struct {
-	Position  mirror.Position // Of the published records.
-	Version   uint64          // Of the configuration.
-	Config    *config.Config  // Nil until one is known.
-	Routing   *config.Routing // Of Config.
+	Position  mirror.Position // Position of the published records.
+	Version   uint64          // Version of the configuration.
+	Config    *config.Config  // Nil until a configuration is received.
+	Routing   *config.Routing // Derived from Config.
 	Upstreams map[string]fleet.Upstream
 	Targets   map[string]Target // By model.
 }
@@ -82,18 +83,18 @@
 	return out
 }
 
-// DropReplaced drops upstreams of whose address a later one is listed: an incarnation that
-// crashed stays in the list for a while beside the one that follows it, and what is told
-// of the address would be taken to be of either. It is called before c is published.
+// DropReplaced removes each upstream whose address a later one is listed with. A crashed
+// incarnation stays listed for a while beside its successor, and information about the address
+// would be attributed to either. It must be called before c is published.
 func (c *Catalog) DropReplaced() {
-	at := map[string]fleet.Upstream{}
+	newest := map[string]fleet.Upstream{}
 	for _, u := range c.Upstreams {
-		if o, ok := at[u.Addr]; !ok || u.ListedAt > o.ListedAt {
-			at[u.Addr] = u
+		if o, ok := newest[u.Addr]; !ok || u.ListedAt > o.ListedAt {
+			newest[u.Addr] = u
 		}
 	}
 	for id, u := range c.Upstreams {
-		if at[u.Addr].ID != id {
+		if newest[u.Addr].ID != id {
 			delete(c.Upstreams, id)
 		}
 	}
@@ -102,13 +103,13 @@
 // Holder keeps the newest Catalog. The zero value holds an empty one.
 type Holder struct {
 	mu      sync.Mutex
-	now     *Catalog
+	current *Catalog
 	changed chan struct{}
 }
 
 func (h *Holder) init() {
-	if h.now == nil {
-		h.now = &Catalog{}
+	if h.current == nil {
+		h.current = &Catalog{}
 		h.changed = make(chan struct{})
 	}
 }
@@ -120,24 +121,24 @@
 }
 
 // Watch returns the newest catalog and a channel that is closed when the next
-// one is there.
+// one is set.
 func (h *Holder) Watch() (*Catalog, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.init()
-	return h.now, h.changed
+	return h.current, h.changed
 }
 
-// Set publishes a catalog. It panics if a version were to fall, since mirrors
-// never go back.
+// Set publishes a catalog. It panics if the position or the version would decrease, since mirrors
+// never move backwards.
 func (h *Holder) Set(c *Catalog) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.init()
-	if c.Position < h.now.Position || c.Version < h.now.Version {
-		panic("catalog: a version fell")
+	if c.Position < h.current.Position || c.Version < h.current.Version {
+		panic("catalog: position or version decreased")
 	}
-	h.now = c
+	h.current = c
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
--- a/catalog/replaced_test.go
+++ b/catalog/replaced_test.go
@@ -9,7 +9,7 @@
 	"github.com/poststand/poststand/mirror"
 )
 
-// Of two incarnations at one address the one whose entry changed last is there.
+// Of several incarnations at one address, the one whose entry changed last is kept.
 func TestDropReplaced(t *testing.T) {
 	is := is.New(t)
 	c := &Catalog{Upstreams: map[string]fleet.Upstream{
