--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,10 +1,8 @@
-// Package fleet holds what is known of the boxes.
+// Package fleet defines the members of a fleet: boxes and the upstreams of services.
 //
-// The platform publishes a list of live and leaving boxes, which lags. A
-// Membership corrects it with what this process saw itself: a box that refused,
-// timed out, announced a drain, or came back with another incarnation. What was
-// seen is held until a stored deadline and then the list counts again, so a
-// wrong belief ends by itself.
+// The platform publishes a list of live and leaving members, which lags behind their actual
+// state. A Box is one entry of the list of boxes. An Upstream is one listed replica of a
+// service, and its Incarnation distinguishes a replica from the ones before a restart.
 package fleet
 
 import (
@@ -12,10 +10,10 @@
 	"strings"
 )
 
-// ClassGateway is the class of entry boxes.
+// ClassGateway is the class of boxes that run gateways.
 const ClassGateway = "gateway"
 
-// Box is one entry of the fleet list. It is comparable.
+// Box is one entry of the published list of boxes. It is comparable.
 type Box struct {
 	Name    string
 	Hall    string
@@ -41,7 +39,7 @@
 	return out
 }
 
-// Names returns the names of boxes.
+// Names returns the names of boxes, in their order.
 func Names(boxes []Box) []string {
 	out := make([]string, len(boxes))
 	for i, b := range boxes {
--- a/fleet/upstream.go
+++ b/fleet/upstream.go
@@ -2,22 +2,22 @@
 
 import "github.com/poststand/poststand/mirror"
 
-// Incarnation is one life of a replica: a restart begins another one, most often under another ID.
-// All that is believed of a replica is believed of one life of it.
+// Incarnation identifies one run of a replica. A restart begins another one, usually with another ID.
+// All state that is kept about a replica belongs to one incarnation.
 type Incarnation struct {
 	ID   string
-	Born int64 // When it began, in Unix milliseconds by the replica's clock; 0 where that is not told.
+	Born int64 // Start time in Unix milliseconds by the replica's clock; 0 if not reported.
 }
 
-// Matches reports whether l and o may be one life: one whose birth is not told may be any of its
-// ID.
-func (l Incarnation) Matches(o Incarnation) bool {
-	return l.ID == o.ID && (l.Born == o.Born || l.Born == 0 || o.Born == 0)
+// Matches reports whether i and o may be the same incarnation. One without a start time matches every
+// incarnation with its ID.
+func (i Incarnation) Matches(o Incarnation) bool {
+	return i.ID == o.ID && (i.Born == o.Born || i.Born == 0 || o.Born == 0)
 }
 
-// Before reports whether l is a life of the same replica that ended before o began.
-func (l Incarnation) Before(o Incarnation) bool {
-	return l.ID == o.ID && !l.Matches(o) && l.Born < o.Born
+// Before reports whether i is an earlier incarnation than o of the same replica.
+func (i Incarnation) Before(o Incarnation) bool {
+	return i.ID == o.ID && !i.Matches(o) && i.Born < o.Born
 }
 
 // Upstream is one replica of a service as the platform lists it.
@@ -26,11 +26,11 @@
 	Service string
 	Addr    string // IP and port for requests.
 	Hall    string
-	Slots   int // Requests that it works on at once.
+	Slots   int // Requests that it runs concurrently.
 	Leaving bool
-	Engine  bool   // It runs a model, and so has weights.
-	Model   string // What it holds, or empty.
-	Version uint64 // Of the weights that it holds whole; 0 for none.
-	// ListedAt is the position at which the last change of its entry was first known.
+	Engine  bool   // It runs a model and therefore has weights.
+	Model   string // The model that it has loaded, or that its service runs; empty for none.
+	Version uint64 // Version of the loaded weights; 0 for none.
+	// ListedAt is the position at which this process first received the last change of the entry.
 	ListedAt mirror.Position
 }
