--- a/internal/direct/callers_test.go
+++ b/internal/direct/callers_test.go
@@ -11,125 +11,126 @@
 	"time"
 )
 
-// Callers' requests.
+// Parameters of callers' requests.
 const (
-	waits  = 6 * time.Second
-	answer = 90 // Tokens, five to an event.
-	events = answer / 5
-	// fullLoad is what all replicas together can do in a second.
-	fullLoad = halls * boxesEach * slots / 0.95
+	callerTimeout = 6 * time.Second
+	answerTokens  = 90 // Tokens, five per event.
+	answerEvents  = answerTokens / 5
+	// fullCapacity is the number of requests that all replicas together can serve in a second.
+	fullCapacity = halls * boxesPerHall * slotsPerReplica / 0.95
 )
 
-// tally counts answers.
-type tally struct{ whole, refused, failed, cut atomic.Int64 }
+// answerCounts counts the answers that callers received, by outcome.
+type answerCounts struct{ complete, refused, failed, truncated atomic.Int64 }
 
-// call has callers ask all gateways at so many times what the replicas can do, until the
-// world ends.
-func (w *world) call(load float64, t *tally) {
-	r := w.rand // Only this goroutine draws from it by now.
+// generateLoad sends requests to random gateways, at load times the capacity of the replicas,
+// until the world is closed.
+func (w *world) generateLoad(load float64, counts *answerCounts) {
+	r := w.rand // No other goroutine uses it once the load has begun.
 	for n := 0; ; n++ {
-		if !w.sleep(time.Duration(r.ExpFloat64() / (load * fullLoad) * float64(time.Second))) {
+		if !w.sleep(time.Duration(r.ExpFloat64() / (load * fullCapacity) * float64(time.Second))) {
 			return
 		}
 		target := []string{"/s/", "/s/", "/s/", "/s/", "/s/", "/once/", "/plain/safe/", "/plain/unsafe/"}[r.IntN(8)]
 		g := w.gateways[r.IntN(len(w.gateways))]
-		go w.ask(g, fmt.Sprintf("a%d", n), target, 200+r.IntN(1600), t)
+		go w.sendRequest(g, fmt.Sprintf("a%d", n), target, 200+r.IntN(1600), counts)
 	}
 }
 
-// call is one request of a caller.
-type call struct {
+// callerRequest is one request of a caller to a gateway.
+type callerRequest struct {
 	id, target, body string
-	prompt           int // Tokens.
-	// head, if set, is told when the head of the answer comes.
-	head func(g *gateway, h http.Header)
+	promptTokens     int // Tokens.
+	// onHeader, if set, is called with the header of the answer when it is written.
+	onHeader func(g *gateway, h http.Header)
 }
 
-func (c *call) began(g *gateway, rec *httptest.ResponseRecorder) {
-	if c.head != nil {
-		c.head(g, rec.Header())
+func (c *callerRequest) headerWritten(g *gateway, rec *httptest.ResponseRecorder) {
+	if c.onHeader != nil {
+		c.onHeader(g, rec.Header())
 	}
 }
 
-// heads tells when the head of an answer comes.
-type heads struct {
+// headerRecorder is a ResponseRecorder that calls onHeader when the header is written.
+type headerRecorder struct {
 	*httptest.ResponseRecorder
-	began func()
+	onHeader func()
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (h *heads) WriteHeader(status int) {
+func (h *headerRecorder) WriteHeader(status int) {
 	h.ResponseRecorder.WriteHeader(status)
-	h.began()
+	h.onHeader()
 }
 
-// send has a gateway answer a request. ok is false where the gateway does not run, or was
-// killed meanwhile; cut says that the answer was cut, visibly.
-func (g *gateway) send(c call) (rec *httptest.ResponseRecorder, cut, ok bool) {
+// send passes a request to the gateway and records its answer. truncated reports whether the
+// handler aborted the answer. ok is false if the gateway is not running, or was killed before
+// it had answered.
+func (g *gateway) send(c callerRequest) (rec *httptest.ResponseRecorder, truncated, ok bool) {
 	g.mu.Lock()
-	relay, life := g.relay, g.life
+	handler, lifetime := g.relay, g.lifetime
 	g.mu.Unlock()
-	if relay == nil {
+	if handler == nil {
 		return nil, false, false
 	}
-	ctx, cancel := context.WithTimeout(life, waits)
+	ctx, cancel := context.WithTimeout(lifetime, callerTimeout)
 	defer cancel()
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://h.example"+c.target, strings.NewReader(c.body))
 	r.RequestURI = c.target
 	for k, v := range map[string]string{
-		"X-Attempt-Id": c.id, "X-Deadline-Ms": fmt.Sprint(waits.Milliseconds()), "Authorization": "Bearer k", "X-Model": "m",
-		"X-Token-Count": fmt.Sprintf("%d,%d", c.prompt, answer),
+		"X-Attempt-Id": c.id, "X-Deadline-Ms": fmt.Sprint(callerTimeout.Milliseconds()), "Authorization": "Bearer k", "X-Model": "m",
+		"X-Token-Count": fmt.Sprintf("%d,%d", c.promptTokens, answerTokens),
 	} {
 		r.Header.Set(k, v)
 	}
 	rec = httptest.NewRecorder()
-	cut = serve(relay, &heads{ResponseRecorder: rec, began: func() { c.began(g, rec) }}, r)
-	return rec, cut, life.Err() == nil
+	truncated = serve(handler, &headerRecorder{ResponseRecorder: rec, onHeader: func() { c.headerWritten(g, rec) }}, r)
+	return rec, truncated, lifetime.Err() == nil
 }
 
-// ask sends one request and hands its answer to the judge.
-func (w *world) ask(g *gateway, id, target string, prompt int, t *tally) {
-	rec, cut, ok := g.send(call{id: id, target: target, body: "body", prompt: prompt, head: w.passedOn})
+// sendRequest sends one request, counts its outcome and passes it to the checker.
+func (w *world) sendRequest(g *gateway, id, target string, prompt int, counts *answerCounts) {
+	rec, truncated, ok := g.send(callerRequest{id: id, target: target, body: "body", promptTokens: prompt, onHeader: w.recordForwarded})
 	if !ok {
 		return
 	}
-	wrong := ""
+	violation := ""
 	switch {
-	case cut:
-		t.cut.Add(1)
+	case truncated:
+		counts.truncated.Add(1)
 	case rec.Code == http.StatusOK:
-		t.whole.Add(1)
-		wrong = amiss(rec)
-	case refusedForLong(rec):
-		wrong = "was quarantined"
+		counts.complete.Add(1)
+		violation = checkAnswer(rec)
+	case isQuarantined(rec):
+		violation = "was quarantined"
 	case rec.Code == http.StatusServiceUnavailable:
-		t.refused.Add(1)
+		counts.refused.Add(1)
 	default:
-		t.failed.Add(1)
+		counts.failed.Add(1)
 	}
-	w.judge.answered(id, target, rec.Code, wrong)
+	w.checker.checkOutcome(id, target, rec.Code, violation)
 }
 
-// serve reports whether the answer was cut, visibly.
-func serve(h http.Handler, w http.ResponseWriter, r *http.Request) (cut bool) {
+// serve calls the handler and reports whether it aborted the answer.
+func serve(h http.Handler, w http.ResponseWriter, r *http.Request) (truncated bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			if err, ok := p.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
 				panic(p)
 			}
-			cut = true
+			truncated = true
 		}
 	}()
 	h.ServeHTTP(w, r)
 	return false
 }
 
-// amiss says what is wrong with a whole answer: it has every event once, all of the
-// version that its head names.
-func amiss(rec *httptest.ResponseRecorder) string {
+// checkAnswer returns what is wrong with a complete answer, or an empty string. A correct answer
+// is signed and has every event once, all of the version that its header reports.
+func checkAnswer(rec *httptest.ResponseRecorder) string {
 	var want strings.Builder
 	version := rec.Header().Get("X-Weight-Versions")
-	for i := 1; i <= events; i++ {
+	for i := 1; i <= answerEvents; i++ {
 		fmt.Fprintf(&want, "id: %d\ndata: e%d of %s\n\n", i, i, version)
 	}
 	if got := rec.Body.String(); got != want.String() {
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// drawNamings draws when the operator names versions: some before the last one is
-// everywhere.
-func drawNamings(r *rand.Rand, before time.Duration) []time.Duration {
+// drawTargetChanges draws the times at which the operator sets a new target version. Some come
+// before all replicas have loaded the version before.
+func drawTargetChanges(r *rand.Rand, before time.Duration) []time.Duration {
 	var out []time.Duration
-	for at := 6*time.Second + rand64(r, 3*time.Second); at < before; {
+	for at := 6*time.Second + randomDuration(r, 3*time.Second); at < before; {
 		out = append(out, at)
 		if r.IntN(2) == 0 {
 			at += between(r, 300*time.Millisecond, 5*time.Second)
@@ -25,94 +25,95 @@
 	return out
 }
 
-// play runs a world with faults drawn from the seed, if there are to be any, over a time.
-// It ends sooner if ends is not zero.
-func play(t *testing.T, seed uint64, lasts, ends time.Duration, faulty bool) {
+// simulate runs a world for the given duration, with faults drawn from the seed if withFaults
+// is set. If stopAfter is not zero, it stops the run at that time; the draws are still those of
+// the whole duration.
+func simulate(t *testing.T, seed uint64, duration, stopAfter time.Duration, withFaults bool) {
 	t.Helper()
-	playWith(t, seed, lasts, ends, faulty, func(*world) {})
+	simulateWith(t, seed, duration, stopAfter, withFaults, func(*world) {})
 }
 
-// playWith is play with something that begins beside the callers.
-func playWith(t *testing.T, seed uint64, lasts, ends time.Duration, faulty bool, beside func(w *world)) {
+// simulateWith is simulate with a background function that starts together with the load.
+func simulateWith(t *testing.T, seed uint64, duration, stopAfter time.Duration, withFaults bool, background func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		w := newWorld(t, r)
-		const settles = 14 * time.Second // No fault begins so shortly before the end.
+		const settleTime = 14 * time.Second // Before the end of the run, without target changes.
 		load := 0.9 + 0.9*r.Float64()
-		namings := drawNamings(r, lasts-settles)
+		targetChanges := drawTargetChanges(r, duration-settleTime)
 		var faults []fault
-		if faulty {
-			faults = drawFaults(r, namings, lasts-settles)
+		if withFaults {
+			faults = drawFaults(r, targetChanges, duration-settleTime)
 		}
-		for i, at := range namings {
-			time.AfterFunc(at, func() { w.name(uint64(i + 2)) })
+		for i, at := range targetChanges {
+			time.AfterFunc(at, func() { w.setTarget(uint64(i + 2)) })
 		}
 		for _, f := range faults {
-			time.AfterFunc(f.at, func() { f.begin(w) })
+			time.AfterFunc(f.at, func() { f.inject(w) })
 		}
-		var got tally
-		var queued, looks int
-		time.AfterFunc(2*time.Second, func() { w.call(load, &got) })
-		time.AfterFunc(2*time.Second, func() { beside(w) })
-		began := time.Now()
-		if ends == 0 {
-			ends = lasts
+		var counts answerCounts
+		var queued, samples int
+		time.AfterFunc(2*time.Second, func() { w.generateLoad(load, &counts) })
+		time.AfterFunc(2*time.Second, func() { background(w) })
+		start := time.Now()
+		if stopAfter == 0 {
+			stopAfter = duration
 		}
-		for time.Since(began) < ends {
+		for time.Since(start) < stopAfter {
 			time.Sleep(100 * time.Millisecond)
-			q := w.queued()
-			queued, looks = queued+q, looks+1
+			q := w.queuedRequests()
+			queued, samples = queued+q, samples+1
 		}
-		holding, deaf := w.holding(), w.deaf()
+		loaded, ignoring := w.loadedVersions(), w.ignoringDisconnect()
 		w.close()
-		j := w.judge
-		t.Logf("seed %d load %.2f: begun %d whole %d refused %d failed %d cut %d; queues %.2f full; oldest %v (%s); holding %v, deaf %v; versions at %v",
-			seed, load, j.total, got.whole.Load(), got.refused.Load(), got.failed.Load(), got.cut.Load(),
-			float64(queued)/float64(looks*halls*boxesEach*room), j.old, j.oldAt, holding, deaf, namings)
-		for target, ends := range j.fatal.ends {
-			t.Logf("  %d replicas ended under %s", len(ends), target)
+		c := w.checker
+		t.Logf("seed %d load %.2f: begun %d complete %d refused %d failed %d truncated %d; queues %.2f full; stalest %v (%s); replicas by version %v, ignoring disconnects %v; target changes at %v",
+			seed, load, c.totalRuns, counts.complete.Load(), counts.refused.Load(), counts.failed.Load(), counts.truncated.Load(),
+			float64(queued)/float64(samples*halls*boxesPerHall*queueLimit), c.stalest, c.stalestRun, loaded, ignoring, targetChanges)
+		for target, crashes := range c.fatal.crashes {
+			t.Logf("  %d replicas crashed on %s", len(crashes), target)
 		}
 		for _, f := range faults {
-			t.Logf("  %v %s", f.at, f.about)
+			t.Logf("  %v %s", f.at, f.description)
 		}
-		for _, b := range j.broken {
-			t.Errorf("  %s", b)
+		for _, v := range c.violations {
+			t.Errorf("  %s", v)
 		}
-		if got.whole.Load() == 0 {
-			t.Error("nothing was served")
+		if counts.complete.Load() == 0 {
+			t.Error("no request was answered in full")
 		}
-		if newest := uint64(len(namings) + 1); !faulty && holding[newest] != len(w.boxes) {
-			t.Errorf("not all replicas hold %d: %v", newest, holding)
+		if newest := uint64(len(targetChanges) + 1); !withFaults && loaded[newest] != len(w.boxes) {
+			t.Errorf("not all replicas have loaded version %d: %v", newest, loaded)
 		}
 	})
 }
 
 func TestNoFaults(t *testing.T) {
 	t.Parallel()
-	play(t, 1, 22*time.Second, 0, false)
+	simulate(t, 1, 22*time.Second, 0, false)
 }
 
-// playSeeds plays each of some seeds for 28 s. POSTSTAND_SEEDS=FROM-TO plays others, for a
-// minute each.
-func playSeeds(t *testing.T, from, to uint64, play func(t *testing.T, seed uint64, lasts time.Duration)) {
+// simulateSeeds runs the simulation for 28 s with each seed in a range.
+// POSTSTAND_SEEDS=FROM-TO selects another range, for a minute each.
+func simulateSeeds(t *testing.T, from, to uint64, run func(t *testing.T, seed uint64, duration time.Duration)) {
 	t.Helper()
-	lasts := 28 * time.Second
+	duration := 28 * time.Second
 	if s := os.Getenv("POSTSTAND_SEEDS"); s != "" {
 		if _, err := fmt.Sscanf(s, "%d-%d", &from, &to); err != nil {
 			t.Fatal(err)
 		}
-		lasts = time.Minute
+		duration = time.Minute
 	}
 	for seed := from; seed <= to; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			play(t, seed, lasts)
+			run(t, seed, duration)
 		})
 	}
 }
 
 func TestFaults(t *testing.T) {
 	t.Parallel()
-	playSeeds(t, 1, 2, func(t *testing.T, seed uint64, lasts time.Duration) { play(t, seed, lasts, 0, true) })
+	simulateSeeds(t, 1, 2, func(t *testing.T, seed uint64, duration time.Duration) { simulate(t, seed, duration, 0, true) })
 }
--- a/internal/direct/fatal_test.go
+++ b/internal/direct/fatal_test.go
@@ -16,43 +16,46 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// fatalTarget begins the targets of requests that end each replica which begins to run them.
+// fatalTarget is the prefix of the targets of fatal requests: each crashes every replica that
+// starts to run it.
 const fatalTarget = "/s/fatal/"
 
-// Bounds of the users' rule on such requests.
+// Bounds of the users' rule on fatal requests: once fatalCrashes replicas have crashed on a
+// request and recoveryTime has passed, it may be sent to replicas maxLateSends times at the most.
 const (
-	fatalEnds = 3 // After so many ends,
-	fatalLate = 3 // and contact later, so many sends are allowed.
+	fatalCrashes = 3
+	maxLateSends = 3
 )
 
-// servedBy is when callers have been served. A request that many ask for, and of which none
-// has been served yet, may look fatal where it is at most replicas that end: it is let go of
-// with the first that is served.
-const servedBy = 3 * time.Second
+// warmUp is the time after which requests of all kinds have been served. A frequent request
+// that has not been served yet may look fatal, since it is running at most of the replicas that
+// crash; the first answer clears it.
+const warmUp = 3 * time.Second
 
-// fatalRuns is what the judge knows of fatal requests, by their targets.
-type fatalRuns struct {
-	ends map[string][]time.Time
-	late map[string]int
-	told map[string]bool // The rule is broken, which is told once.
+// fatalRequests is the checker's state of the fatal requests, by target.
+type fatalRequests struct {
+	crashes   map[string][]time.Time
+	lateSends map[string]int
+	reported  map[string]bool // A violation of the rule is reported once.
 }
 
-// fatal ends a box's replica under a fatal request; it is back a while later.
-func (w *world) fatal(b *box, x platformtest.EngineRun) bool {
-	if !strings.HasPrefix(x.Target, fatalTarget) {
+// crashOnFatal crashes the replica of a box if the request is fatal, and starts its next
+// incarnation after a downtime. It reports whether the replica ended under the request.
+func (w *world) crashOnFatal(b *box, run platformtest.EngineRun) bool {
+	if !strings.HasPrefix(run.Target, fatalTarget) {
 		return false
 	}
-	const runs, down = 80 * time.Millisecond, 2500 * time.Millisecond
-	time.Sleep(runs)
+	const runTime, downtime = 80 * time.Millisecond, 2500 * time.Millisecond
+	time.Sleep(runTime)
 	b.mu.Lock()
-	here := b.engine != nil && b.engine.ID == x.Engine
+	running := b.engine != nil && b.engine.ID == run.Engine
 	b.mu.Unlock()
-	if !here {
-		return true // It ended under another one.
+	if !running {
+		return true // Another request crashed it meanwhile.
 	}
-	w.judge.endedUnder(x.Target)
+	w.checker.recordCrash(run.Target)
 	e := w.crash(b)
-	time.AfterFunc(down, func() {
+	time.AfterFunc(downtime, func() {
 		if e != nil && w.ctx.Err() == nil {
 			w.addEngine(b, e)
 		}
@@ -60,88 +63,91 @@
 	return true
 }
 
-// endedUnder is told of each replica that ended under a fatal request.
-func (j *judge) endedUnder(target string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.fatal.ends == nil {
-		j.fatal = fatalRuns{ends: map[string][]time.Time{}, late: map[string]int{}, told: map[string]bool{}}
+// recordCrash records that a replica crashes on a fatal request.
+func (c *checker) recordCrash(target string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.fatal.crashes == nil {
+		c.fatal = fatalRequests{crashes: map[string][]time.Time{}, lateSends: map[string]int{}, reported: map[string]bool{}}
 	}
-	j.fatal.ends[target] = append(j.fatal.ends[target], time.Now())
+	c.fatal.crashes[target] = append(c.fatal.crashes[target], time.Now())
 }
 
-// beganFatal is told of a request that a gateway in touch sent on and that began.
-func (j *judge) beganFatal(b platformtest.EngineRun) {
-	ends := j.fatal.ends[b.Target]
-	if len(ends) < fatalEnds || b.ArrivedAt.Sub(ends[fatalEnds-1]) <= contact {
+// checkFatalRun checks a request that a gateway in contact sent and that a replica began to run
+// against the rule on fatal requests. The caller holds c.mu.
+func (c *checker) checkFatalRun(run platformtest.EngineRun) {
+	crashes := c.fatal.crashes[run.Target]
+	if len(crashes) < fatalCrashes || run.ArrivedAt.Sub(crashes[fatalCrashes-1]) <= recoveryTime {
 		return
 	}
-	j.fatal.late[b.Target]++
-	if j.fatal.late[b.Target] > fatalLate && !j.fatal.told[b.Target] {
-		j.fatal.told[b.Target] = true
-		j.breaks("BUDGET %s was sent more than %d times after %d replicas had ended under it; ended %d", b.Target, fatalLate, fatalEnds, len(ends))
+	c.fatal.lateSends[run.Target]++
+	if c.fatal.lateSends[run.Target] > maxLateSends && !c.fatal.reported[run.Target] {
+		c.fatal.reported[run.Target] = true
+		c.addViolation("BUDGET %s was sent more than %d times after %d replicas had crashed on it; crashes: %d", run.Target, maxLateSends, fatalCrashes, len(crashes))
 	}
 }
 
-// fatally has a caller ask for the same fatal request again and again, at any gateway.
-func (w *world) fatally(r *rand.Rand, name string) {
+// sendFatalRequests repeats a fatal request at random gateways until the world is closed.
+func (w *world) sendFatalRequests(r *rand.Rand, name string) {
 	for n := 0; w.sleep(between(r, 100*time.Millisecond, 2*time.Second)); n++ {
 		g := w.gateways[r.IntN(len(w.gateways))]
-		go w.tryFatal(g, fatalTarget+name, fmt.Sprintf("%s-%d", name, n))
+		go w.sendFatalRequest(g, fatalTarget+name, fmt.Sprintf("%s-%d", name, n))
 	}
 }
 
-// tryFatal asks once, and reports whether the request was refused as not run.
-func (w *world) tryFatal(g *gateway, target, id string) (refused bool) {
-	rec, cut, ok := g.send(call{id: id, target: target, body: target, prompt: 800})
-	if !ok || cut || rec.Code != http.StatusServiceUnavailable {
+// sendFatalRequest sends a fatal request once, and reports whether it was refused as not run.
+func (w *world) sendFatalRequest(g *gateway, target, id string) (refused bool) {
+	rec, truncated, ok := g.send(callerRequest{id: id, target: target, body: target, promptTokens: 800})
+	if !ok || truncated || rec.Code != http.StatusServiceUnavailable {
 		return false
 	}
-	j := w.judge
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.begins[id] > 0 {
-		j.breaks("%s was refused as not run and began", id)
+	c := w.checker
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.runs[id] > 0 {
+		c.addViolation("%s was refused as not run and began", id)
 	}
 	return true
 }
 
-// refusedForLong reports whether an answer says that the request is quarantined.
-func refusedForLong(rec *httptest.ResponseRecorder) bool {
-	const long = 60 // Seconds.
-	in, _ := strconv.ParseFloat(rec.Header().Get("Retry-After"), 64)
-	return rec.Code == http.StatusServiceUnavailable && in > long
+// isQuarantined reports whether an answer is the refusal of a quarantined request: only such a
+// refusal has a Retry-After above the threshold.
+func isQuarantined(rec *httptest.ResponseRecorder) bool {
+	const threshold = 60 // Seconds.
+	retryAfter, _ := strconv.ParseFloat(rec.Header().Get("Retry-After"), 64)
+	return rec.Code == http.StatusServiceUnavailable && retryAfter > threshold
 }
 
-// One or two fatal requests come at any gateway while faults strike gateways, agents,
-// replicas, connections and the store.
+// One or two fatal requests are repeated at all gateways while gateways, agents, replicas,
+// connections and the store fail.
 func TestFatalRequestsAmongFaults(t *testing.T) {
 	t.Parallel()
-	playSeeds(t, 1, 3, playFatal)
+	simulateSeeds(t, 1, 3, simulateFatalRequests)
 }
 
-func playFatal(t *testing.T, seed uint64, lasts time.Duration) {
+func simulateFatalRequests(t *testing.T, seed uint64, duration time.Duration) {
 	t.Helper()
-	playWith(t, seed, lasts, 0, true, func(w *world) {
-		w.sleep(servedBy)
+	simulateWith(t, seed, duration, 0, true, func(w *world) {
+		w.sleep(warmUp)
 		r := rand.New(rand.NewPCG(seed, 2))
 		for i := range 1 + r.IntN(2) {
-			own := rand.New(rand.NewPCG(seed, uint64(3+i)))
-			go w.fatally(own, fmt.Sprint(i))
+			draws := rand.New(rand.NewPCG(seed, uint64(3+i)))
+			go w.sendFatalRequests(draws, fmt.Sprint(i))
 		}
 	})
 }
 
-// Two tries that overlap end three replicas in 3 s, and the next ones come 9 s later, four at
-// once. Three ends 0.45 s apart at the least were taken for two in two of eight plays.
+// Two overlapping sends of a fatal request crash three replicas within 3 s; the next four sends
+// come 9 s later, all at once. The gateways must count all three crashes: two of them, at least
+// 0.45 s apart, were counted as one in two of eight runs.
 func TestFatalTriesThatOverlap(t *testing.T) {
 	t.Parallel()
 	const seed = 42
-	playFatal(t, seed, time.Minute)
+	simulateFatalRequests(t, seed, time.Minute)
 }
 
-// All gateways are killed at one moment. Those that start know of the quarantined request by
-// the agents, which outlived the others.
+// All gateways are killed at once. Their successors learn of the quarantined request from the
+// agents, which kept running.
 func TestAgentsKeepQuarantineForGateways(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -149,26 +155,26 @@
 		w.sleep(3 * time.Second)
 		target := fatalTarget + "a"
 		for n := range 12 {
-			w.tryFatal(w.gateways[n%len(w.gateways)], target, fmt.Sprint("before", n))
+			w.sendFatalRequest(w.gateways[n%len(w.gateways)], target, fmt.Sprint("before", n))
 			w.sleep(500 * time.Millisecond)
 		}
-		before := len(w.judge.fatal.ends[target])
-		is.True(before >= fatalEnds)
+		before := len(w.checker.fatal.crashes[target])
+		is.True(before >= fatalCrashes)
 		for _, g := range w.gateways {
-			w.endGateway(g)
+			w.killGateway(g)
 		}
 		w.sleep(time.Second)
 		for _, g := range w.gateways {
 			w.startGateway(g)
 		}
-		w.sleep(contact)
+		w.sleep(recoveryTime)
 		for n, g := range w.gateways {
-			is.True(w.tryFatal(g, target, fmt.Sprint("after", n)))
+			is.True(w.sendFatalRequest(g, target, fmt.Sprint("after", n)))
 		}
-		is.Equal(len(w.judge.fatal.ends[target]), before)
+		is.Equal(len(w.checker.fatal.crashes[target]), before)
 		w.close()
-		for _, b := range w.judge.broken {
-			t.Error(b)
+		for _, v := range w.checker.violations {
+			t.Error(v)
 		}
 	})
 }
--- a/internal/direct/faults_test.go
+++ b/internal/direct/faults_test.go
@@ -8,36 +8,38 @@
 	"time"
 )
 
-// fault is something that goes wrong at a time of a run. begin may wait for its end.
+// fault is a failure that is injected at a set time of a run. inject may block until the failure
+// is over.
 type fault struct {
-	at    time.Duration
-	about string
-	begin func(w *world)
+	at          time.Duration
+	description string
+	inject      func(w *world)
 }
 
-// paths are kinds of connections, by who opened them and to whom.
-var paths = []struct {
-	about string
-	is    func(from, to string) bool
+// connectionKinds are the kinds of connections that a fault can hit, by their dialer (from) and
+// listener (to).
+var connectionKinds = []struct {
+	description string
+	matches     func(from, to string) bool
 }{
 	{"gateways to replicas", func(from, to string) bool { return isGateway(from) && isReplica(to) }},
 	{"between gateways", func(from, to string) bool { return isGateway(from) && isGateway(to) }},
 	{"agents to gateways", func(from, to string) bool { return isAgent(from) && isGateway(to) }},
 	{"between agents", func(from, to string) bool { return isAgent(from) && isAgent(to) }},
 	{"to the store", func(_, to string) bool { return to == storeAddr }},
-	{"all but to the own replica", func(from, to string) bool { return !(isAgent(from) && isReplica(to)) }},
+	{"all but agents to replicas", func(from, to string) bool { return !(isAgent(from) && isReplica(to)) }},
 	{"all", func(string, string) bool { return true }},
 }
 
-// drawFaults draws what goes wrong before a time: some at any time, and series that
-// overlap from just before a version is named until just after its bound.
-func drawFaults(r *rand.Rand, namings []time.Duration, before time.Duration) []fault {
+// drawFaults draws some faults at any time before the given one, and for most target changes up
+// to four more that may overlap, from 2 s before the change until the end of its bound.
+func drawFaults(r *rand.Rand, targetChanges []time.Duration, before time.Duration) []fault {
 	const first = 3 * time.Second
 	var out []fault
 	for range 1 + r.IntN(5) {
 		out = append(out, drawFault(r, between(r, first, before)))
 	}
-	for _, at := range namings {
+	for _, at := range targetChanges {
 		if r.IntN(3) == 0 {
 			continue
 		}
@@ -51,120 +53,123 @@
 
 func drawFault(r *rand.Rand, at time.Duration) fault {
 	kinds := []func(r *rand.Rand) (string, func(w *world)){
-		silence, silence, silence, silence, resets, endGateway, endAgent, freezeGateway, freezeAgent,
-		crashReplica, crashReplica, slowReplica, slowReplica, originAway, originAway, storeAway,
+		connectionSilence, connectionSilence, connectionSilence, connectionSilence, connectionReset, gatewayRestart, agentRestart, gatewayIsolation, agentIsolation,
+		replicaCrash, replicaCrash, replicaSlowdown, replicaSlowdown, originOutage, originOutage, storeOutage,
 	}
-	about, begin := kinds[r.IntN(len(kinds))](r)
-	return fault{at: at, about: about, begin: begin}
+	description, inject := kinds[r.IntN(len(kinds))](r)
+	return fault{at: at, description: description, inject: inject}
 }
 
-func rand64(r *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(r.Int64N(int64(most)))
+func randomDuration(r *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(r.Int64N(int64(limit)))
 }
 
-// between draws a time from least to most.
+// between draws a duration from least up to most.
 func between(r *rand.Rand, least, most time.Duration) time.Duration {
-	return least + rand64(r, most-least)
+	return least + randomDuration(r, most-least)
 }
 
-// some chooses a share of connections of a kind; each is drawn by itself.
-func some(r *rand.Rand) (about string, which func(from, to string) bool) {
-	p := paths[r.IntN(len(paths))]
+// drawConnections draws a kind of connections and a share of them. selects draws for each
+// connection of that kind whether it is part of the share.
+func drawConnections(r *rand.Rand) (description string, selects func(from, to string) bool) {
+	kind := connectionKinds[r.IntN(len(connectionKinds))]
 	share := []float64{1, 1, 0.5, 0.2}[r.IntN(4)]
 	draws := rand.New(rand.NewPCG(r.Uint64(), 0))
-	return fmt.Sprintf("%s, %v of them", p.about, share), func(from, to string) bool { return p.is(from, to) && draws.Float64() < share }
+	return fmt.Sprintf("%s, %v of them", kind.description, share), func(from, to string) bool { return kind.matches(from, to) && draws.Float64() < share }
 }
 
-// silence has open connections go silent. It counts as a reset at all machines.
-func silence(r *rand.Rand) (string, func(w *world)) {
-	about, which := some(r)
-	way := r.IntN(4)
-	return fmt.Sprintf("silence %d %s", way, about), func(w *world) {
-		w.touchAll()
-		switch way {
+// connectionSilence makes open connections lose what is sent on them, in one direction or both.
+// The checker counts it as a disturbance of all machines.
+func connectionSilence(r *rand.Rand) (string, func(w *world)) {
+	description, selects := drawConnections(r)
+	direction := r.IntN(4)
+	return fmt.Sprintf("silence %d %s", direction, description), func(w *world) {
+		w.disturbAllMachines()
+		switch direction {
 		case 0:
-			w.net.SilenceThere(which)
+			w.net.SilenceFromDialer(selects)
 		case 1:
-			w.net.SilenceBack(which)
+			w.net.SilenceToDialer(selects)
 		default:
-			w.net.Silence(which)
+			w.net.Silence(selects)
 		}
 	}
 }
 
-func resets(r *rand.Rand) (string, func(w *world)) {
-	about, which := some(r)
-	return "reset " + about, func(w *world) {
-		w.touchAll()
-		w.net.Reset(which)
+func connectionReset(r *rand.Rand) (string, func(w *world)) {
+	description, selects := drawConnections(r)
+	return "reset " + description, func(w *world) {
+		w.disturbAllMachines()
+		w.net.Reset(selects)
 	}
 }
 
-// touchAll notes a moment's disturbance of all machines.
-func (w *world) touchAll() {
+// disturbAllMachines records a momentary disturbance of all machines.
+func (w *world) disturbAllMachines() {
 	for _, g := range w.gateways {
-		w.judge.disturbMachine(g.addr)()
+		w.checker.disturbMachine(g.addr)()
 	}
 }
 
-func endGateway(r *rand.Rand) (string, func(w *world)) {
-	n, down := r.IntN(halls*gatewaysEach), between(r, 100*time.Millisecond, 4*time.Second)
-	return fmt.Sprintf("gateway %d ended for %v", n, down), func(w *world) {
+func gatewayRestart(r *rand.Rand) (string, func(w *world)) {
+	n, downtime := r.IntN(halls*gatewaysPerHall), between(r, 100*time.Millisecond, 4*time.Second)
+	return fmt.Sprintf("gateway %d down for %v", n, downtime), func(w *world) {
 		g := w.gateways[n]
-		defer w.judge.disturbMachine(g.addr)()
-		w.endGateway(g)
-		if w.sleep(down) {
+		defer w.checker.disturbMachine(g.addr)()
+		w.killGateway(g)
+		if w.sleep(downtime) {
 			w.startGateway(g)
 		}
 	}
 }
 
-func endAgent(r *rand.Rand) (string, func(w *world)) {
-	n, down := r.IntN(halls*boxesEach), between(r, 100*time.Millisecond, 6*time.Second)
-	return fmt.Sprintf("agent %d ended for %v", n, down), func(w *world) {
+func agentRestart(r *rand.Rand) (string, func(w *world)) {
+	n, downtime := r.IntN(halls*boxesPerHall), between(r, 100*time.Millisecond, 6*time.Second)
+	return fmt.Sprintf("agent %d down for %v", n, downtime), func(w *world) {
 		b := w.boxes[n]
-		w.endAgent(b)
-		w.sleep(down)
+		w.killAgent(b)
+		w.sleep(downtime)
 		w.startAgent(b)
 	}
 }
 
-func freezeGateway(r *rand.Rand) (string, func(w *world)) {
-	n, frozen := r.IntN(halls*gatewaysEach), between(r, 300*time.Millisecond, 5*time.Second)
-	return fmt.Sprintf("gateway %d cut off for %v", n, frozen), func(w *world) {
-		defer w.judge.disturbMachine(w.gateways[n].addr)()
-		defer w.judge.goesAway(w.gateways[n].addr)()
-		w.isolateFor(w.gateways[n].addr, frozen)
+func gatewayIsolation(r *rand.Rand) (string, func(w *world)) {
+	n, isolated := r.IntN(halls*gatewaysPerHall), between(r, 300*time.Millisecond, 5*time.Second)
+	return fmt.Sprintf("gateway %d isolated for %v", n, isolated), func(w *world) {
+		defer w.checker.disturbMachine(w.gateways[n].addr)()
+		defer w.checker.beginOutage(w.gateways[n].addr)()
+		w.isolateFor(w.gateways[n].addr, isolated)
 	}
 }
 
-func freezeAgent(r *rand.Rand) (string, func(w *world)) {
-	n, frozen := r.IntN(halls*boxesEach), between(r, 300*time.Millisecond, 9*time.Second)
-	return fmt.Sprintf("agent %d cut off for %v", n, frozen), func(w *world) {
-		defer w.judge.goesAway(w.boxes[n].agent())()
-		w.isolateFor(w.boxes[n].agent(), frozen)
+func agentIsolation(r *rand.Rand) (string, func(w *world)) {
+	n, isolated := r.IntN(halls*boxesPerHall), between(r, 300*time.Millisecond, 9*time.Second)
+	return fmt.Sprintf("agent %d isolated for %v", n, isolated), func(w *world) {
+		defer w.checker.beginOutage(w.boxes[n].agent())()
+		w.isolateFor(w.boxes[n].agent(), isolated)
 	}
 }
 
+// isolateFor stalls all links of a process for a duration.
 func (w *world) isolateFor(name string, d time.Duration) {
 	w.isolate(name, true)
 	w.sleep(d)
 	w.isolate(name, false)
 }
 
-func crashReplica(r *rand.Rand) (string, func(w *world)) {
-	n, down := r.IntN(halls*boxesEach), between(r, 100*time.Millisecond, 5*time.Second)
-	return fmt.Sprintf("replica %d crashed for %v", n, down), func(w *world) {
+func replicaCrash(r *rand.Rand) (string, func(w *world)) {
+	n, downtime := r.IntN(halls*boxesPerHall), between(r, 100*time.Millisecond, 5*time.Second)
+	return fmt.Sprintf("replica %d crashed for %v", n, downtime), func(w *world) {
 		e := w.crash(w.boxes[n])
-		if e != nil && w.sleep(down) {
+		if e != nil && w.sleep(downtime) {
 			w.addEngine(w.boxes[n], e)
 		}
 	}
 }
 
-func slowReplica(r *rand.Rand) (string, func(w *world)) {
-	n, pace, slow := r.IntN(halls*boxesEach), 2+6*r.Float64(), between(r, time.Second, 8*time.Second)
-	return fmt.Sprintf("replica %d %.1f times as slow for %v", n, pace, slow), func(w *world) {
+func replicaSlowdown(r *rand.Rand) (string, func(w *world)) {
+	n, factor, slowFor := r.IntN(halls*boxesPerHall), 2+6*r.Float64(), between(r, time.Second, 8*time.Second)
+	return fmt.Sprintf("replica %d slowed down by a factor of %.1f for %v", n, factor, slowFor), func(w *world) {
 		b := w.boxes[n]
 		b.mu.Lock()
 		e := b.engine
@@ -172,32 +177,32 @@
 		if e == nil {
 			return
 		}
-		e.SetPace(pace)
-		w.sleep(slow)
+		e.SetPace(factor)
+		w.sleep(slowFor)
 		e.SetPace(1)
 	}
 }
 
-func originAway(r *rand.Rand) (string, func(w *world)) {
-	away := between(r, 2*time.Second, 12*time.Second)
-	return fmt.Sprintf("origin away for %v", away), func(w *world) {
+func originOutage(r *rand.Rand) (string, func(w *world)) {
+	outage := between(r, 2*time.Second, 12*time.Second)
+	return fmt.Sprintf("origin down for %v", outage), func(w *world) {
 		w.net.Remove(originAddr)
-		if w.sleep(away) {
+		if w.sleep(outage) {
 			w.addOrigin()
 		}
 	}
 }
 
-func storeAway(r *rand.Rand) (string, func(w *world)) {
-	away, refuses := between(r, 500*time.Millisecond, 6*time.Second), r.IntN(2) == 0
-	return fmt.Sprintf("store away for %v, refuses: %v", away, refuses), func(w *world) {
-		defer w.judge.disturb(&w.judge.store)()
+func storeOutage(r *rand.Rand) (string, func(w *world)) {
+	outage, refuses := between(r, 500*time.Millisecond, 6*time.Second), r.IntN(2) == 0
+	return fmt.Sprintf("store down for %v, refuses: %v", outage, refuses), func(w *world) {
+		defer w.checker.beginDisturbance(&w.checker.storeDisturbances)()
 		if refuses {
 			w.store.Refuse(http.StatusServiceUnavailable)
-			w.sleep(away)
+			w.sleep(outage)
 			w.store.Refuse(0)
 			return
 		}
-		w.isolateFor(storeAddr, away)
+		w.isolateFor(storeAddr, outage)
 	}
 }
--- a/internal/direct/judge_test.go
+++ b/internal/direct/judge_test.go
@@ -9,132 +9,140 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// Bounds of the users' rule on versions.
+// Bounds of the users' rule on versions: once a newer target version has been set for
+// versionWithin, gateways in contact start no requests on an older one.
 const (
 	versionWithin = 8 * time.Second
-	contact       = 3 * time.Second // Without a disturbance a machine is in touch again, and the store stable.
+	recoveryTime  = 3 * time.Second // After a disturbance, until a machine is in contact again and the store stable.
 )
 
-// span is a time in which something is disturbed. Until is zero while it lasts.
-type span struct{ from, until time.Time }
+// disturbance is a time during which something is disturbed. until is zero while it lasts.
+type disturbance struct{ from, until time.Time }
 
-func (s span) end(now time.Time) time.Time {
-	if s.until.IsZero() {
+func (d disturbance) end(now time.Time) time.Time {
+	if d.until.IsZero() {
 		return now
 	}
-	return s.until
-}
-
-// judge sees what the stand-ins see, and holds it against the users' rules.
-type judge struct {
-	mu       sync.Mutex
-	origin   time.Time // Times are told from it.
-	versions []naming
-	store    []*span            // The store is away or slow.
-	links    []*span            // Some link is.
-	machines map[string][]*span // A machine, by the address of its gateway.
-	away     map[string][]*span // A process was ended or cut off, by its address.
-	begins   map[string]int     // By the caller's attempt.
-	total    int
-	old      time.Duration // The longest time after a newer one was named at which one in touch began on an older.
-	oldAt    string
-	broken   []string
-	fatal    fatalRuns
-}
-
-type naming struct {
+	return d.until
+}
+
+// checker records what the stand-ins and the callers observe and checks it against the users'
+// rules.
+type checker struct {
+	mu                  sync.Mutex
+	start               time.Time // Reported times are relative to it.
+	targetChanges       []targetChange
+	storeDisturbances   []*disturbance            // Of the store: down, or being restored.
+	linkDisturbances    []*disturbance            // Of any link.
+	machineDisturbances map[string][]*disturbance // By the address of the machine's gateway.
+	processOutages      map[string][]*disturbance // Times when a process was killed or isolated, by its address.
+	runs                map[string]int            // By the ID of the caller's attempt.
+	totalRuns           int
+	stalest             time.Duration // The longest calm between a target change and a request that still began on an older version.
+	stalestRun          string
+	violations          []string
+	fatal               fatalRequests
+}
+
+type targetChange struct {
 	version uint64
 	at      time.Time
 }
 
-func newJudge() *judge {
-	return &judge{origin: time.Now(), machines: map[string][]*span{}, away: map[string][]*span{}, begins: map[string]int{}}
+func newChecker() *checker {
+	return &checker{start: time.Now(), machineDisturbances: map[string][]*disturbance{}, processOutages: map[string][]*disturbance{}, runs: map[string]int{}}
 }
 
-func (j *judge) since(t time.Time) string { return t.Sub(j.origin).Round(time.Millisecond).String() }
+func (c *checker) sinceStart(t time.Time) string {
+	return t.Sub(c.start).Round(time.Millisecond).String()
+}
 
-func (j *judge) named(version uint64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.versions = append(j.versions, naming{version, time.Now()})
+func (c *checker) recordTargetChange(version uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.targetChanges = append(c.targetChanges, targetChange{version, time.Now()})
 }
 
-// disturb notes that a disturbance begins; what it returns ends it.
-func (j *judge) disturb(list *[]*span) (over func()) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	s := &span{from: time.Now()}
-	*list = append(*list, s)
-	return func() { j.ends(s) }
+// beginDisturbance records the beginning of a disturbance in a list, and returns a function that
+// records its end.
+func (c *checker) beginDisturbance(list *[]*disturbance) (end func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	d := &disturbance{from: time.Now()}
+	*list = append(*list, d)
+	return func() { c.endDisturbance(d) }
 }
 
-func (j *judge) ends(s *span) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	s.until = time.Now()
+func (c *checker) endDisturbance(d *disturbance) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	d.until = time.Now()
 }
 
-// disturbMachine is disturb for the machine of a gateway.
-func (j *judge) disturbMachine(gateway string) (over func()) { return j.disturbOf(j.machines, gateway) }
+// disturbMachine is beginDisturbance for the machine of a gateway.
+func (c *checker) disturbMachine(gateway string) (end func()) {
+	return c.beginDisturbanceOf(c.machineDisturbances, gateway)
+}
 
-// disturbOf is disturb for one of those that spans are of.
-func (j *judge) disturbOf(spans map[string][]*span, name string) (over func()) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	s := &span{from: time.Now()}
-	spans[name] = append(spans[name], s)
-	return func() { j.ends(s) }
+// beginDisturbanceOf is beginDisturbance for the list under a name.
+func (c *checker) beginDisturbanceOf(disturbances map[string][]*disturbance, name string) (end func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	d := &disturbance{from: time.Now()}
+	disturbances[name] = append(disturbances[name], d)
+	return func() { c.endDisturbance(d) }
 }
 
-func (j *judge) breaks(format string, args ...any) {
-	j.broken = append(j.broken, fmt.Sprintf("%s: ", j.since(time.Now()))+fmt.Sprintf(format, args...))
+// addViolation records a violation of a rule. The caller holds c.mu.
+func (c *checker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%s: ", c.sinceStart(time.Now()))+fmt.Sprintf(format, args...))
 }
 
-// began is told of each request that a replica began to work on.
-func (j *judge) began(b platformtest.EngineRun) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.total++
-	j.begins[b.ID]++
-	if once(b.Target) && j.begins[b.ID] > 1 {
-		j.breaks("unsafe request %s ran %d times", b.ID, j.begins[b.ID])
+// checkRun checks a request that a replica began to run. It is the OnRun of all engines.
+func (c *checker) checkRun(run platformtest.EngineRun) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.totalRuns++
+	c.runs[run.ID]++
+	if runsAtMostOnce(run.Target) && c.runs[run.ID] > 1 {
+		c.addViolation("unsafe request %s ran %d times", run.ID, c.runs[run.ID])
 	}
-	if !j.inTouch(b.Sender, b.ArrivedAt) {
+	if !c.inContact(run.Sender, run.ArrivedAt) {
 		return
 	}
-	j.beganFatal(b)
-	for _, v := range j.versions {
-		if v.version <= b.Version {
+	c.checkFatalRun(run)
+	for _, change := range c.targetChanges {
+		if change.version <= run.Version {
 			continue
 		}
-		calm := j.calm(v.at, b.FirstTokenAt)
-		if calm > j.old {
-			j.old, j.oldAt = calm, fmt.Sprintf("%s at %s by %s on %s, sent %s", b.Target, j.since(b.FirstTokenAt), b.Sender, b.Engine, j.since(b.ArrivedAt))
+		calm := c.longestCalm(change.at, run.FirstTokenAt)
+		if calm > c.stalest {
+			c.stalest, c.stalestRun = calm, fmt.Sprintf("%s at %s by %s on %s, sent %s", run.Target, c.sinceStart(run.FirstTokenAt), run.Sender, run.Engine, c.sinceStart(run.ArrivedAt))
 		}
 		if calm > versionWithin {
-			j.breaks("VERSION %s (%s) began on %d, %v (calm %v) after %d was named at %s; sent %s by %s to %s, sender in touch until then: %v",
-				b.ID, b.Target, b.Version, b.FirstTokenAt.Sub(v.at), calm, v.version, j.since(v.at), j.since(b.ArrivedAt), b.Sender, b.Engine, j.inTouch(b.Sender, b.FirstTokenAt))
+			c.addViolation("VERSION %s (%s) began on %d, %v (calm %v) after the target became %d at %s; sent %s by %s to %s, sender in contact when it began: %v",
+				run.ID, run.Target, run.Version, run.FirstTokenAt.Sub(change.at), calm, change.version, c.sinceStart(change.at), c.sinceStart(run.ArrivedAt), run.Sender, run.Engine, c.inContact(run.Sender, run.FirstTokenAt))
 		}
 		return
 	}
 }
 
-// once reports whether a request may run once only.
-func once(target string) bool {
+// runsAtMostOnce reports whether requests to a target must not run twice.
+func runsAtMostOnce(target string) bool {
 	return strings.HasPrefix(target, "/plain/unsafe/") || strings.HasPrefix(target, "/once/")
 }
 
-// calm returns the longest stretch between two times in which the store was stable and no
-// link disturbed.
-func (j *judge) calm(from, to time.Time) time.Duration {
+// longestCalm returns the longest part of an interval in which the store was stable and no link
+// disturbed.
+func (c *checker) longestCalm(from, to time.Time) time.Duration {
 	longest, at := time.Duration(0), from
 	for at.Before(to) {
 		next := to
-		for _, s := range j.store {
-			at, next = s.narrow(at, next, to, contact)
+		for _, d := range c.storeDisturbances {
+			at, next = d.exclude(at, next, to, recoveryTime)
 		}
-		for _, s := range j.links {
-			at, next = s.narrow(at, next, to, 0)
+		for _, d := range c.linkDisturbances {
+			at, next = d.exclude(at, next, to, 0)
 		}
 		if next.After(at) {
 			longest = max(longest, next.Sub(at))
@@ -144,17 +152,18 @@
 	return longest
 }
 
-// narrow moves the beginning of a stretch past a disturbance that covers it, or its end
-// to before one that follows.
-func (s *span) narrow(at, next, now time.Time, after time.Duration) (time.Time, time.Time) {
-	end := s.end(now).Add(after)
+// exclude shortens the interval from at to next by the disturbance and the time to settle after
+// it: if the disturbance covers the beginning, that moves past it; if it begins later, the end
+// moves to before it.
+func (d *disturbance) exclude(at, next, now time.Time, settle time.Duration) (time.Time, time.Time) {
+	end := d.end(now).Add(settle)
 	switch {
-	case !s.from.After(at):
+	case !d.from.After(at):
 		if end.After(at) {
 			at = end
 		}
-	case s.from.Before(next):
-		next = s.from
+	case d.from.Before(next):
+		next = d.from
 	}
 	if next.Before(at) {
 		next = at
@@ -162,35 +171,37 @@
 	return at, next
 }
 
-// inTouch reports whether a gateway was in touch at a time.
-func (j *judge) inTouch(gateway string, at time.Time) bool {
-	for _, s := range j.machines[gateway] {
-		if !s.from.After(at) && s.end(at).Add(contact).After(at) {
+// inContact reports whether a gateway was in contact at a time: its machine has not been disturbed
+// for the recovery time, and the store not for twice that.
+func (c *checker) inContact(gateway string, at time.Time) bool {
+	for _, d := range c.machineDisturbances[gateway] {
+		if !d.from.After(at) && d.end(at).Add(recoveryTime).After(at) {
 			return false
 		}
 	}
-	for _, s := range j.store {
-		if !s.from.After(at) && s.end(at).Add(2*contact).After(at) {
+	for _, d := range c.storeDisturbances {
+		if !d.from.After(at) && d.end(at).Add(2*recoveryTime).After(at) {
 			return false
 		}
 	}
 	return true
 }
 
-// answered is told what a caller got.
-func (j *judge) answered(id, target string, status int, wrong string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if wrong != "" {
-		j.breaks("%s: %s", id, wrong)
+// checkOutcome checks the status of an answer that a caller received, and records the violation
+// that the caller found in it, if any.
+func (c *checker) checkOutcome(id, target string, status int, violation string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if violation != "" {
+		c.addViolation("%s: %s", id, violation)
 	}
 	if status == 429 || status == 503 {
-		refused := j.begins[id]
-		if once(target) && refused > 0 {
-			j.breaks("%s was refused though it had run", id)
+		runs := c.runs[id]
+		if runsAtMostOnce(target) && runs > 0 {
+			c.addViolation("%s was refused though it had run", id)
 		}
-		if once(target) {
-			j.begins[id] = 1 // It must not run later.
+		if runsAtMostOnce(target) {
+			c.runs[id] = 1 // It must not run later.
 		}
 	}
 }
--- a/internal/direct/look_test.go
+++ b/internal/direct/look_test.go
@@ -1,7 +1,7 @@
 package direct_test
 
-// holding counts replicas by the version that they hold.
-func (w *world) holding() map[uint64]int {
+// loadedVersions counts the running replicas by the version that they have loaded.
+func (w *world) loadedVersions() map[uint64]int {
 	out := map[uint64]int{}
 	for _, b := range w.boxes {
 		b.mu.Lock()
@@ -13,8 +13,8 @@
 	return out
 }
 
-// deaf returns the replicas that go on with requests whose connection closes.
-func (w *world) deaf() (out []string) {
+// ignoringDisconnect returns the replicas that keep running requests whose connection closes.
+func (w *world) ignoringDisconnect() (out []string) {
 	for _, b := range w.boxes {
 		b.mu.Lock()
 		if b.engine != nil && b.engine.IgnoresDisconnect {
@@ -25,8 +25,8 @@
 	return out
 }
 
-// queued counts the requests that wait at replicas.
-func (w *world) queued() int {
+// queuedRequests counts the requests that are queued at replicas.
+func (w *world) queuedRequests() int {
 	n := 0
 	for _, b := range w.boxes {
 		b.mu.Lock()
--- a/internal/direct/process_test.go
+++ b/internal/direct/process_test.go
@@ -15,14 +15,14 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// startGateway starts a gateway, unless it runs.
+// startGateway starts a gateway, unless it is running.
 func (w *world) startGateway(g *gateway) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.relay != nil {
 		return
 	}
-	w.judge.goesAway(g.addr)() // What the process before it was told is gone.
+	w.checker.beginOutage(g.addr)() // The state of the process before it is lost.
 	f, t := w.follower(g.addr)
 	r, err := relay.New(&settings.Relay{
 		Own: settings.Own{Cluster: "c", Box: g.addr, Hall: g.hall, Listen: g.addr, Store: storeAddr, Join: w.seeds()},
@@ -38,17 +38,17 @@
 	w.net.Add(&simnet.End{Name: g.addr, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: r.Server().ServeConn})
 	var k kernel.Kernel
 	r.AddTasks(&k)
-	end := w.run(&k, g.addr, r.Close)
-	life, over := context.WithCancel(w.ctx)
-	g.relay, g.life = r, life
-	g.end = func() {
-		over()
-		end()
+	kill := w.runTasks(&k, g.addr, r.Close)
+	lifetime, cancel := context.WithCancel(w.ctx)
+	g.relay, g.lifetime = r, lifetime
+	g.kill = func() {
+		cancel()
+		kill()
 	}
 }
 
-// run runs the duties of a process, and returns what kills it.
-func (w *world) run(k *kernel.Kernel, addr string, closes func()) (end func()) {
+// runTasks runs the tasks of a process, and returns a function that kills it.
+func (w *world) runTasks(k *kernel.Kernel, addr string, closeProcess func()) (kill func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -58,46 +58,46 @@
 	return func() {
 		w.net.Remove(addr)
 		cancel()
-		closes()
+		closeProcess()
 		<-done
 	}
 }
 
-// endGateway kills a gateway, if it runs.
-func (w *world) endGateway(g *gateway) {
+// killGateway kills a gateway, if it is running.
+func (w *world) killGateway(g *gateway) {
 	g.mu.Lock()
-	end := g.end
-	g.relay, g.end = nil, nil
+	kill := g.kill
+	g.relay, g.kill = nil, nil
 	g.mu.Unlock()
-	if end != nil {
-		defer w.judge.goesAway(g.addr)()
-		end()
+	if kill != nil {
+		defer w.checker.beginOutage(g.addr)()
+		kill()
 	}
 }
 
-// startAgent starts a box's agent, unless it runs.
+// startAgent starts a box's agent, unless it is running.
 func (w *world) startAgent(b *box) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.end != nil {
+	if b.kill != nil {
 		return
 	}
-	w.judge.goesAway(b.agent())()
+	w.checker.beginOutage(b.agent())()
 	f, t := w.follower(b.agent())
-	rep := &platform.Replica{Addr: b.replica(), HTTP: w.client(b.agent(), true)}
-	from := w.client(b.agent(), false)
+	replica := &platform.Replica{Addr: b.replica(), HTTP: w.client(b.agent(), true)}
+	originClient := w.client(b.agent(), false)
 	st, err := stager.New(&settings.Stager{
 		Own:          settings.Own{Cluster: "c", Box: b.name, Hall: b.hall, Listen: b.agent(), Store: storeAddr, Join: w.seeds()},
-		StagerBounds: settings.StagerBounds{VersionWithin: versionWithin, Link: linkMega},
+		StagerBounds: settings.StagerBounds{VersionWithin: versionWithin, Link: linkMegabits},
 		Replica:      b.replica(), Service: "llm",
 	}, stager.Options{
-		Replica: stager.Replica{Report: rep.Report, Order: rep.Order, Stage: rep.Stage, ListStaged: rep.Staged, ReadStaged: rep.ReadStaged},
+		Replica: stager.Replica{Report: replica.Report, Order: replica.Order, Stage: replica.Stage, ListStaged: replica.Staged, ReadStaged: replica.ReadStaged},
 		Origin: stager.Origin{
 			Manifest: func(ctx context.Context, addr, model string, version uint64) (*weights.Manifest, error) {
-				return (&platform.Origin{Addr: addr, HTTP: from}).Manifest(ctx, model, version)
+				return (&platform.Origin{Addr: addr, HTTP: originClient}).Manifest(ctx, model, version)
 			},
 			Piece: func(ctx context.Context, addr, model string, version uint64, piece int) ([]byte, error) {
-				return (&platform.Origin{Addr: addr, HTTP: from}).Piece(ctx, model, version, piece)
+				return (&platform.Origin{Addr: addr, HTTP: originClient}).Piece(ctx, model, version, piece)
 			},
 		},
 		Platform: f, Catalog: t.Catalog, KeepsHistory: platform.KeepsHistory, Outlasts: platform.Precedence, Dial: w.dialer(b.agent()),
@@ -109,55 +109,57 @@
 	w.net.Add(&simnet.End{Name: b.agent(), Up: b.up, Down: b.down, Serve: st.Server().ServeConn})
 	var k kernel.Kernel
 	st.AddTasks(&k)
-	b.end = w.run(&k, b.agent(), st.Close)
+	b.kill = w.runTasks(&k, b.agent(), st.Close)
 }
 
-// endAgent kills a box's agent, if it runs.
-func (w *world) endAgent(b *box) {
+// killAgent kills a box's agent, if it is running.
+func (w *world) killAgent(b *box) {
 	b.mu.Lock()
-	end := b.end
-	b.end = nil
+	kill := b.kill
+	b.kill = nil
 	b.mu.Unlock()
-	if end != nil {
-		defer w.judge.goesAway(b.agent())()
-		end()
+	if kill != nil {
+		defer w.checker.beginOutage(b.agent())()
+		kill()
 	}
 }
 
+// nextID returns the ID of the replica's next incarnation.
 func (b *box) nextID() string {
 	b.starts++
 	return fmt.Sprintf("i-%s-%d", b.name, b.starts)
 }
 
-// addEngine has a box's replica run and tell the store of itself until it crashes.
+// addEngine starts a box's replica, which keeps its record in the store until it crashes.
 func (w *world) addEngine(b *box, e *platformtest.Engine) {
 	b.mu.Lock()
 	b.engine = e
 	b.mu.Unlock()
-	// Requests arrive over the box's link; the agent is on the same machine, but its
-	// words are small and its pieces are not sent over it in truth.
+	// In a real deployment requests arrive over the box's link, but the agent is on the same
+	// machine: its messages are small, and its pieces do not pass that link. The replica's links
+	// are therefore unlimited.
 	w.net.Add(&simnet.End{Name: b.replica(), Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: platformtest.Serve(e)})
 	w.store.Put("servers/"+e.ID, e.Record())
 	go func() {
-		told := e.LoadedVersion()
-		for w.sleep(beat) && b.runs(e) {
-			if v := e.LoadedVersion(); v != told {
-				told = v
+		published := e.LoadedVersion()
+		for w.sleep(recordInterval) && b.isRunning(e) {
+			if v := e.LoadedVersion(); v != published {
+				published = v
 				w.store.Put("servers/"+e.ID, e.Record())
 			}
 		}
-		w.sleep(2 * beat)
+		w.sleep(2 * recordInterval)
 		w.store.Delete("servers/" + e.ID)
 	}()
 }
 
-func (b *box) runs(e *platformtest.Engine) bool {
+func (b *box) isRunning(e *platformtest.Engine) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.engine == e
 }
 
-// crash ends a box's replica and returns the next incarnation, or nil if none ran.
+// crash ends a box's replica and returns its next incarnation, or nil if none was running.
 func (w *world) crash(b *box) *platformtest.Engine {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -167,6 +169,6 @@
 	}
 	b.engine = nil
 	w.net.Remove(b.replica())
-	w.judge.heardAll(e)
+	w.checker.checkReplica(e)
 	return e.Crash(b.nextID())
 }
--- a/internal/direct/words_test.go
+++ b/internal/direct/words_test.go
@@ -9,9 +9,9 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// speaks has replicas say in their answers that they leave, or turn all away and ask for
-// rest, at any time and beside each other.
-func (w *world) speaks(r *rand.Rand) {
+// leaveAndShed makes random replicas leave, which they announce in their answers, or shed all
+// load with a Retry-After. Several replicas may do so at once.
+func (w *world) leaveAndShed(r *rand.Rand) {
 	for w.sleep(between(r, 200*time.Millisecond, 3*time.Second)) {
 		b := w.boxes[r.IntN(len(w.boxes))]
 		b.mu.Lock()
@@ -20,39 +20,40 @@
 		if e == nil {
 			continue
 		}
-		own := rand.New(rand.NewPCG(r.Uint64(), 0))
+		draws := rand.New(rand.NewPCG(r.Uint64(), 0))
 		if r.IntN(3) == 0 {
-			go w.leaves(own, b, e)
+			go w.leave(draws, b, e)
 		} else {
-			go w.sheds(own, e)
+			go w.shed(draws, e)
 		}
 	}
 }
 
-// leaves has a replica leave. The list hears of it at once, late or never; its entry may lapse
-// meanwhile, and come back as that of one that is ready. Another one follows at its address.
-func (w *world) leaves(r *rand.Rand, b *box, e *platformtest.Engine) {
+// leave makes a replica leave. Its record in the store reports that at once, late or never; the
+// record may expire meanwhile and be written again as ready. Another incarnation follows at the
+// same address.
+func (w *world) leave(r *rand.Rand, b *box, e *platformtest.Engine) {
 	e.Leave()
 	key := "servers/" + e.ID
-	ends := between(r, platformtest.DrainWithin+500*time.Millisecond, 9*time.Second)
-	heard, lapses := r.IntN(3), r.IntN(3) == 0
-	if heard > 0 {
-		late := time.Duration(heard-1) * between(r, time.Second, ends)
-		time.AfterFunc(late, func() {
-			if b.runs(e) {
-				leaving := e.Record()
-				leaving["state"] = "draining"
-				w.store.Put(key, leaving)
+	downAfter := between(r, platformtest.DrainWithin+500*time.Millisecond, 9*time.Second)
+	notice, expires := r.IntN(3), r.IntN(3) == 0
+	if notice > 0 {
+		delay := time.Duration(notice-1) * between(r, time.Second, downAfter)
+		time.AfterFunc(delay, func() {
+			if b.isRunning(e) {
+				record := e.Record()
+				record["state"] = "draining"
+				w.store.Put(key, record)
 			}
 		})
 	}
-	if lapses && w.sleep(between(r, 0, ends/2)) && b.runs(e) {
+	if expires && w.sleep(between(r, 0, downAfter/2)) && b.isRunning(e) {
 		w.store.Delete(key)
-		if w.sleep(between(r, 100*time.Millisecond, time.Second)) && b.runs(e) {
+		if w.sleep(between(r, 100*time.Millisecond, time.Second)) && b.isRunning(e) {
 			w.store.Put(key, e.Record())
 		}
 	}
-	if !w.sleep(ends) || !b.runs(e) {
+	if !w.sleep(downAfter) || !b.isRunning(e) {
 		return
 	}
 	next := w.crash(b)
@@ -61,28 +62,29 @@
 	}
 }
 
-// sheds has a replica turn all away for a while.
-func (w *world) sheds(r *rand.Rand, e *platformtest.Engine) {
-	rests := []string{"3", "3", "0.7", "2.5", "1", "10"}
-	e.Shed(rests[r.IntN(len(rests))])
+// shed makes a replica refuse all requests for a while.
+func (w *world) shed(r *rand.Rand, e *platformtest.Engine) {
+	retryAfters := []string{"3", "3", "0.7", "2.5", "1", "10"}
+	e.Shed(retryAfters[r.IntN(len(retryAfters))])
 	w.sleep(between(r, 500*time.Millisecond, 9*time.Second))
 	e.Shed("")
 }
 
-// passedOn tells a replica that a gateway has passed on an answer of it which says that it
-// leaves, or names its limit.
-func (w *world) passedOn(g *gateway, h http.Header) {
-	leaves, limits := h.Get("Server-Leaving") == "1", h.Get("Server-Limit") != ""
-	if !leaves && !limits {
+// recordForwarded records with a replica that a gateway has forwarded an answer that announces
+// its leaving or its limit. From then on the replica counts what that gateway sends against the
+// announcement.
+func (w *world) recordForwarded(g *gateway, h http.Header) {
+	isLeaving, isLimited := h.Get("Server-Leaving") == "1", h.Get("Server-Limit") != ""
+	if !isLeaving && !isLimited {
 		return
 	}
 	for _, b := range w.boxes {
 		b.mu.Lock()
 		if e := b.engine; e != nil && h.Get("X-Replica-Signature") == "sig-"+e.ID {
-			if leaves {
+			if isLeaving {
 				e.RecordLeaving(g.addr)
 			}
-			if limits {
+			if isLimited {
 				e.RecordLimit(g.addr)
 			}
 		}
@@ -90,39 +92,42 @@
 	}
 }
 
-// heardAll is told of a replica whose life is over, and judges what came to it against its
-// word. A process that was ended or cut off since is excused.
-func (j *judge) heardAll(e *platformtest.Engine) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, u := range e.Violations() {
-		if !j.awayBetween(u.Sender, u.NotifiedAt, u.At) {
-			j.breaks("%s: %s", e.ID, u)
+// checkReplica checks the requests that a replica received against its announcements, at the end
+// of its run. Processes that were killed or isolated in between are excused.
+func (c *checker) checkReplica(e *platformtest.Engine) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, v := range e.Violations() {
+		if !c.wasDownBetween(v.Sender, v.NotifiedAt, v.At) {
+			c.addViolation("%s: %s", e.ID, v)
 		}
 	}
-	for _, o := range e.OverLimit(j.awayBetween) {
-		j.breaks("LIMIT %s: %s", e.ID, o)
+	for _, o := range e.OverLimit(c.wasDownBetween) {
+		c.addViolation("LIMIT %s: %s", e.ID, o)
 	}
 }
 
-// awayBetween reports whether a process was ended or cut off at some time between two.
-func (j *judge) awayBetween(process string, from, to time.Time) bool {
-	for _, s := range j.away[process] {
-		if s.from.Before(to) && s.end(to).After(from) {
+// wasDownBetween reports whether a process was killed or isolated at some time between two.
+func (c *checker) wasDownBetween(process string, from, to time.Time) bool {
+	for _, d := range c.processOutages[process] {
+		if d.from.Before(to) && d.end(to).After(from) {
 			return true
 		}
 	}
 	return false
 }
 
-// goesAway notes that a process is ended or cut off; what it returns ends that.
-func (j *judge) goesAway(process string) (over func()) { return j.disturbOf(j.away, process) }
+// beginOutage records that a process is killed or isolated, and returns a function that records
+// the end of that.
+func (c *checker) beginOutage(process string) (end func()) {
+	return c.beginDisturbanceOf(c.processOutages, process)
+}
 
-// Replicas leave and shed among faults of all kinds: what they say in their answers is heard,
-// by gateways and by the agents that ask them.
+// Replicas leave and shed load while faults of all kinds occur. Gateways and agents must heed
+// what the replicas announce in their answers.
 func TestWordsAmongFaults(t *testing.T) {
 	t.Parallel()
-	playSeeds(t, 1, 3, func(t *testing.T, seed uint64, lasts time.Duration) {
-		playWith(t, seed, lasts, 0, true, func(w *world) { w.speaks(rand.New(rand.NewPCG(seed, 5))) })
+	simulateSeeds(t, 1, 3, func(t *testing.T, seed uint64, duration time.Duration) {
+		simulateWith(t, seed, duration, 0, true, func(w *world) { w.leaveAndShed(rand.New(rand.NewPCG(seed, 5))) })
 	})
 }
--- a/internal/direct/world_test.go
+++ b/internal/direct/world_test.go
@@ -1,8 +1,10 @@
-// Package direct_test joins real relays and stagers with the stand-ins of the platform, in
-// virtual time: six gateways and nine boxes in three halls, callers that keep replicas'
-// queues filled, an operator who names versions, and faults drawn from a seed. The
-// stand-ins judge the rules: what begins on which version and when, what runs twice, and
-// whether what was refused has run.
+// Package direct_test simulates a deployment of relays (gateways) and stagers (agents) in virtual
+// time: their real code runs against stand-ins of the platform over a simulated network.
+//
+// A world has six gateways and nine boxes in three halls. Callers keep the replicas' queues
+// filled, an operator changes the target version, and faults are drawn from a seed. The checker
+// compares what the stand-ins and callers observe with the users' rules: when requests begin on
+// which version, that unsafe requests run at most once, and that refused ones have not run.
 package direct_test
 
 import (
@@ -35,80 +37,81 @@
 
 // Sizes of a world.
 const (
-	halls        = 3
-	gatewaysEach = 2 // In a hall.
-	boxesEach    = 3
-	slots, room  = 4, 8
-	linkRate     = 9e5 // Bytes a second of a box's and of the origin's link.
-	linkMega     = 7.3
-	beat         = 1200 * time.Millisecond // Between two writes of a replica to the store.
-	storeAddr    = "store:1"
-	originAddr   = "origin:1"
+	halls                       = 3
+	gatewaysPerHall             = 2 // In each hall.
+	boxesPerHall                = 3
+	slotsPerReplica, queueLimit = 4, 8
+	linkRate                    = 9e5 // Of a box's and of the origin's link, in bytes per second.
+	linkMegabits                = 7.3
+	recordInterval              = 1200 * time.Millisecond // Between two checks of a replica whether its record must be written again.
+	storeAddr                   = "store:1"
+	originAddr                  = "origin:1"
 )
 
-var sizes = platformtest.Weights{Pieces: 16, PieceBytes: 48 << 10}
+var weightSizes = platformtest.Weights{Pieces: 16, PieceBytes: 48 << 10}
 
-// world is a deployment: gateways and agents of real code before stand-ins of the rest.
+// world is a simulated deployment: gateways and agents run their real code, all else is a
+// stand-in.
 type world struct {
-	t      *testing.T
-	rand   *rand.Rand
-	net    *simnet.Network
-	store  *platformtest.Store
-	origin *platformtest.Origin
-	judge  *judge
+	t       *testing.T
+	rand    *rand.Rand
+	net     *simnet.Network
+	store   *platformtest.Store
+	origin  *platformtest.Origin
+	checker *checker
 
 	gateways []*gateway
 	boxes    []*box
-	ctx      context.Context // Ends what the world does by itself.
+	ctx      context.Context // Done when the world is closed.
 	stop     context.CancelFunc
 }
 
-// gateway is a process that may be ended and started anew.
+// gateway is a gateway process that may be killed and restarted.
 type gateway struct {
 	addr, hall string
 	mu         sync.Mutex
-	relay      *relay.Relay // Nil while it does not run.
-	life       context.Context
-	end        func()
+	relay      *relay.Relay // Nil while it is not running.
+	lifetime   context.Context
+	kill       func()
 }
 
 // box is a machine with an agent and a replica.
 type box struct {
-	name, hall string // The name is the IP.
+	name, hall string // The name is the IP address.
 	mu         sync.Mutex
 	engine     *platformtest.Engine // Nil while it is crashed.
 	starts     int
 	up, down   *simnet.Link
-	end        func() // Of its agent; nil while that does not run.
+	kill       func() // Kills the agent; nil while that is not running.
 }
 
 func (b *box) agent() string   { return b.name + ":7" }
 func (b *box) replica() string { return b.name + ":80" }
 
-// newWorld starts a world whose replicas hold version 1.
+// newWorld starts a world whose replicas have loaded version 1.
 func newWorld(t *testing.T, r *rand.Rand) *world {
-	w := &world{t: t, rand: r, store: &platformtest.Store{}, origin: &platformtest.Origin{Weights: sizes}, judge: newJudge()}
+	w := &world{t: t, rand: r, store: &platformtest.Store{}, origin: &platformtest.Origin{Weights: weightSizes}, checker: newChecker()}
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	w.net = &simnet.Network{Latency: latency, Small: 256}
 	w.origin.Newest.Store(1)
-	w.store.Put("op/config", config())
-	w.addPlain(storeAddr, w.store)
+	w.store.Put("op/config", initialConfig())
+	w.addServer(storeAddr, w.store)
 	w.addOrigin()
 	for h := range halls {
 		hall := fmt.Sprintf("h%d", h)
-		for i := range boxesEach {
+		for i := range boxesPerHall {
 			b := &box{name: fmt.Sprintf("10.%d.0.%d", h, i+1), hall: hall, up: &simnet.Link{Rate: linkRate}, down: &simnet.Link{Rate: linkRate}}
 			w.boxes = append(w.boxes, b)
 			e := &platformtest.Engine{
-				Addr: b.replica(), Hall: hall, Slots: slots, QueueLimit: room, Weights: sizes, LoadTime: 300 * time.Millisecond,
-				IgnoresDisconnect: r.IntN(5) == 0, OnRun: w.judge.began,
+				Addr: b.replica(), Hall: hall, Slots: slotsPerReplica, QueueLimit: queueLimit, Weights: weightSizes, LoadTime: 300 * time.Millisecond,
+				IgnoresDisconnect: r.IntN(5) == 0, OnRun: w.checker.checkRun,
 			}
-			e.CrashOn = func(x platformtest.EngineRun) bool { return w.fatal(b, x) }
+			e.CrashOn = func(run platformtest.EngineRun) bool { return w.crashOnFatal(b, run) }
 			e.ID = b.nextID()
 			e.Start(1)
 			w.addEngine(b, e)
 		}
-		for i := range gatewaysEach {
+		for i := range gatewaysPerHall {
 			w.gateways = append(w.gateways, &gateway{addr: fmt.Sprintf("10.%d.1.%d:1", h, i+1), hall: hall})
 		}
 	}
@@ -121,14 +124,14 @@
 	return w
 }
 
-// close ends everything.
+// close stops the world and waits until its goroutines have ended.
 func (w *world) close() {
 	w.stop()
 	for _, g := range w.gateways {
-		w.endGateway(g)
+		w.killGateway(g)
 	}
 	for _, b := range w.boxes {
-		w.endAgent(b)
+		w.killAgent(b)
 		w.crash(b)
 	}
 	w.net.Remove(storeAddr)
@@ -136,7 +139,7 @@
 	time.Sleep(time.Minute)
 }
 
-func config() platformtest.Body {
+func initialConfig() platformtest.Body {
 	slow := platformtest.Body{"slo_ms": 6000}
 	c := platformtest.Config(
 		1,
@@ -146,11 +149,11 @@
 		platformtest.Route("unsafe", "/plain/unsafe/", "unsafe", "llm", slow),
 	)
 	e := c["services"].([]platformtest.Body)[0]["engine"].(platformtest.Body)
-	e["slots"], e["chunks"], e["chunk_bytes"] = slots, sizes.Pieces, sizes.PieceBytes
+	e["slots"], e["chunks"], e["chunk_bytes"] = slotsPerReplica, weightSizes.Pieces, weightSizes.PieceBytes
 	return c
 }
 
-// latency of a message: names of ends of one hall begin alike.
+// latency returns the one-way delay between two ends.
 func latency(from, to string) time.Duration {
 	const near, far = 250 * time.Microsecond, 2 * time.Millisecond
 	if hallOf(from) == hallOf(to) {
@@ -159,29 +162,30 @@
 	return far
 }
 
+// hallOf returns the prefix that the names of all ends in a hall share.
 func hallOf(name string) string { return name[:len("10.0")] }
 
-func (w *world) addPlain(name string, h http.Handler) {
+func (w *world) addServer(name string, h http.Handler) {
 	w.net.Add(&simnet.End{Name: name, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: platformtest.Serve(h)})
 }
 
-// addOrigin has the origin there, and ends what it had before.
+// addOrigin adds the origin to the network, and closes the connections of the one before.
 func (w *world) addOrigin() {
 	w.net.Remove(originAddr)
 	w.net.Add(&simnet.End{Name: originAddr, Up: &simnet.Link{Rate: linkRate}, Down: &simnet.Link{}, Serve: platformtest.Serve(w.origin)})
 }
 
-// dialer connects from an end.
+// dialer returns a dial function that connects from an end.
 func (w *world) dialer(from string) func(ctx context.Context, to string) (net.Conn, error) {
 	return func(ctx context.Context, to string) (net.Conn, error) { return w.net.Dial(ctx, from, to) }
 }
 
-// client speaks HTTP from an end, as the processes do.
-func (w *world) client(from string, keeps bool) *http.Client {
+// client returns an HTTP client that dials from an end, with the settings of the real processes.
+func (w *world) client(from string, keepAlive bool) *http.Client {
 	dial := w.dialer(from)
 	return &http.Client{Transport: &http.Transport{
 		DialContext:        func(ctx context.Context, _, to string) (net.Conn, error) { return dial(ctx, to) },
-		DisableCompression: true, DisableKeepAlives: !keeps, MaxIdleConnsPerHost: 4, IdleConnTimeout: 90 * time.Second,
+		DisableCompression: true, DisableKeepAlives: !keepAlive, MaxIdleConnsPerHost: 4, IdleConnTimeout: 90 * time.Second,
 	}}
 }
 
@@ -190,32 +194,32 @@
 	return &peers.Follower{ReadAll: s.Whole, Watch: s.Watch, Newest: s.Newest}, &platform.Translator{}
 }
 
-// seeds are the gateways that processes ask first.
+// seeds returns the addresses of the gateways that processes join by, one in each hall.
 func (w *world) seeds() []string {
 	var out []string
 	for i, g := range w.gateways {
-		if i%gatewaysEach == 0 {
+		if i%gatewaysPerHall == 0 {
 			out = append(out, g.addr)
 		}
 	}
 	return out
 }
 
-// sleep reports whether the world goes on.
+// sleep waits for a duration and reports whether the world is still open.
 func (w *world) sleep(d time.Duration) bool {
 	kernel.Sleep(w.ctx, d)
 	return w.ctx.Err() == nil
 }
 
-// name has the operator name a version.
-func (w *world) name(version uint64) {
+// setTarget sets the target version, as the operator does.
+func (w *world) setTarget(version uint64) {
 	w.origin.Newest.Store(version)
 	w.store.Put("op/version/m", platformtest.Body{"model": "m", "version": version})
-	w.judge.named(version)
+	w.checker.recordTargetChange(version)
 }
 
-// names returns all ends but the operator's.
-func (w *world) names() []string {
+// endNames returns the names of all ends.
+func (w *world) endNames() []string {
 	out := []string{storeAddr, originAddr}
 	for _, g := range w.gateways {
 		out = append(out, g.addr)
@@ -226,9 +230,9 @@
 	return out
 }
 
-// isolate stalls or frees all of an end's links.
+// isolate stalls or resumes the traffic of an end with all others.
 func (w *world) isolate(name string, stalled bool) {
-	for _, other := range w.names() {
+	for _, other := range w.endNames() {
 		if other != name {
 			w.net.Stall(name, other, stalled)
 		}
--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -170,12 +170,12 @@
 // reports true; nil is all.
 func (n *Network) Silence(which func(from, to string) bool) { n.lose(which, there, back) }
 
-// SilenceThere is Silence for what those who opened a connection send on it;
+// SilenceFromDialer is Silence for what those who opened a connection send on it;
 // what they are sent still comes.
-func (n *Network) SilenceThere(which func(from, to string) bool) { n.lose(which, there) }
+func (n *Network) SilenceFromDialer(which func(from, to string) bool) { n.lose(which, there) }
 
-// SilenceBack is Silence for what those who opened a connection are sent on it.
-func (n *Network) SilenceBack(which func(from, to string) bool) { n.lose(which, back) }
+// SilenceToDialer is Silence for what those who opened a connection are sent on it.
+func (n *Network) SilenceToDialer(which func(from, to string) bool) { n.lose(which, back) }
 
 // Reset closes open connections for both sides, and what is on its way is lost.
 func (n *Network) Reset(which func(from, to string) bool) {
