--- a/internal/stack/badinput_test.go
+++ b/internal/stack/badinput_test.go
@@ -13,8 +13,8 @@
 	"github.com/poststand/poststand/internal/gateway"
 )
 
-// Bad input of a caller gets a typed refusal that says "not run", and the next
-// caller an answer.
+// A bad request gets a typed refusal with the outcome "not_run", and does not affect the requests
+// of other callers.
 func TestBadInputOfCallers(t *testing.T) {
 	const chat = `{"model":"chat","messages":[{"role":"user","content":"x"}]}`
 	cases := []struct {
@@ -26,21 +26,21 @@
 		status int
 		code   fault.Code
 	}{
-		{"no JSON", "POST", "/v1/chat/completions", [2]string{}, "{", 400, fault.BadRequest},
+		{"invalid JSON", "POST", "/v1/chat/completions", [2]string{}, "{", 400, fault.BadRequest},
 		{"no such service", "POST", "/v1/chat/completions", [2]string{}, `{"model":"none"}`, 404, fault.NoService},
-		{"a plain service as a model", "POST", "/v1/chat/completions", [2]string{}, `{"model":"plain"}`, 404, fault.NoService},
-		{"a model as a plain service", "POST", "/services/chat/x", [2]string{}, "", 404, fault.NoService},
+		{"plain service as a model", "POST", "/v1/chat/completions", [2]string{}, `{"model":"plain"}`, 404, fault.NoService},
+		{"model as a plain service", "POST", "/services/chat/x", [2]string{}, "", 404, fault.NoService},
 		{"no such adapter", "POST", "/v1/chat/completions", [2]string{}, `{"model":"chat:none"}`, 404, fault.NoService},
 		{"no such path", "GET", "/elsewhere", [2]string{}, "", 404, fault.NoService},
-		{"a body over the bound", "POST", "/v1/chat/completions", [2]string{}, strings.Repeat("x", 2<<20), 413, fault.TooLarge},
-		{"a priority out of range", "POST", "/v1/chat/completions", [2]string{gateway.HeaderPriority, "10"}, chat, 400, fault.BadRequest},
-		{"a time-out that is none", "POST", "/v1/chat/completions", [2]string{gateway.HeaderTimeout, "soon"}, chat, 400, fault.BadRequest},
-		{"unsafe that is neither", "POST", "/v1/chat/completions", [2]string{gateway.HeaderUnsafe, "perhaps"}, chat, 400, fault.BadRequest},
-		{"a key that is too long", "POST", "/v1/chat/completions", [2]string{gateway.HeaderKey, strings.Repeat("k", 300)}, chat, 400, fault.BadRequest},
-		{"an organisation that is not declared", "POST", "/v1/chat/completions", [2]string{gateway.HeaderOrganisation, "nobody"}, chat, 400, fault.BadRequest},
+		{"body too large", "POST", "/v1/chat/completions", [2]string{}, strings.Repeat("x", 2<<20), 413, fault.TooLarge},
+		{"priority out of range", "POST", "/v1/chat/completions", [2]string{gateway.HeaderPriority, "10"}, chat, 400, fault.BadRequest},
+		{"invalid timeout", "POST", "/v1/chat/completions", [2]string{gateway.HeaderTimeout, "soon"}, chat, 400, fault.BadRequest},
+		{"unsafe is not a boolean", "POST", "/v1/chat/completions", [2]string{gateway.HeaderUnsafe, "perhaps"}, chat, 400, fault.BadRequest},
+		{"key too long", "POST", "/v1/chat/completions", [2]string{gateway.HeaderKey, strings.Repeat("k", 300)}, chat, 400, fault.BadRequest},
+		{"undeclared organisation", "POST", "/v1/chat/completions", [2]string{gateway.HeaderOrganisation, "nobody"}, chat, 400, fault.BadRequest},
 	}
-	s := &Stack{Gateways: 1, Engines: 1, Plains: 1, Config: limits + "organisations: {paper: {}}\n"}
-	bubble(t, s, func(t *testing.T, s *Stack) {
+	s := &Stack{Gateways: 1, Engines: 1, PlainBoxes: 1, Config: shortLimits + "organisations: {paper: {}}\n"}
+	runInBubble(t, s, func(t *testing.T, s *Stack) {
 		for _, tc := range cases {
 			is := is.New(t)
 			req, _ := http.NewRequestWithContext(t.Context(), tc.method, "http://h0-gateway0:80"+tc.path, strings.NewReader(tc.body))
@@ -60,11 +60,11 @@
 			is.Equal(resp.Header.Get(gateway.HeaderOutcome), "not_run")
 		}
 		is := is.New(t)
-		r := s.runner(20, 100_000_000)
+		r := s.newLoad(20, 100_000_000)
 		r.Organisations = []string{"paper"}
 		r.Mix.Keyed = 0
 		sum, err := r.Do(t.Context())
 		is.NoErr(err)
-		is.Equal(sum.Answers, sum.Sent) // Nobody else noticed.
+		is.Equal(sum.Answers, sum.Sent) // Other callers are not affected.
 	})
 }
--- a/internal/stack/doctored_test.go
+++ b/internal/stack/doctored_test.go
@@ -24,9 +24,9 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// doctor puts an agent of its own in the place of an engine's, which sends the
+// installFakeAgent replaces an engine's agent by a fake one that answers each dispatch with the
 // messages that answer returns.
-func doctor(s *Stack, name string, answer func(d *dispatch.Dispatch) []any) {
+func installFakeAgent(s *Stack, name string, answer func(d *dispatch.Dispatch) []any) {
 	s.Kill(name)
 	hs := &wire.Handlers{}
 	wire.On(hs, func(ctx context.Context, st *wire.Stream, _ *dispatch.Subscribe) {
@@ -38,9 +38,9 @@
 		}
 	})
 	wire.On(hs, func(ctx context.Context, st *wire.Stream, d *dispatch.Dispatch) {
-		ms := answer(d)
-		for i, m := range ms {
-			if i == len(ms)-1 {
+		messages := answer(d)
+		for i, m := range messages {
+			if i == len(messages)-1 {
 				_ = st.SendLast(ctx, m)
 				return
 			}
@@ -53,6 +53,8 @@
 	s.Net.Add(&simnet.End{Name: name, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: func(ctx context.Context, nc net.Conn) { srv.ServeConn(ctx, nc) }})
 }
 
+// A gateway accepts an answer only if its messages are complete, in order and of the right
+// request and version. It ignores duplicates and messages of other requests.
 func TestDoctoredAnswers(t *testing.T) {
 	id := func(d *dispatch.Dispatch) dispatch.RequestID { return d.ID }
 	other := func(d *dispatch.Dispatch) dispatch.RequestID {
@@ -74,36 +76,36 @@
 		return &dispatch.AnswerEnd{ID: d.ID, Seq: n, Sum: sum(text)}
 	}
 	cases := []struct {
-		name   string
-		answer func(d *dispatch.Dispatch) []any
-		whole  bool
+		name     string
+		answer   func(d *dispatch.Dispatch) []any
+		complete bool
 	}{
-		{"as it should be", func(d *dispatch.Dispatch) []any {
+		{"correct", func(d *dispatch.Dispatch) []any {
 			return []any{head(d), part(id(d), 0, "one "), part(id(d), 1, "two"), end(d, 2, "one two")}
 		}, true},
-		{"a part twice", func(d *dispatch.Dispatch) []any {
+		{"duplicate part", func(d *dispatch.Dispatch) []any {
 			return []any{head(d), part(id(d), 0, "one "), part(id(d), 0, "one "), part(id(d), 1, "two"), end(d, 2, "one two")}
 		}, true},
-		{"a part of another request", func(d *dispatch.Dispatch) []any {
+		{"part of another request", func(d *dispatch.Dispatch) []any {
 			return []any{head(d), part(id(d), 0, "one "), part(other(d), 1, "foreign"), part(id(d), 1, "two"), end(d, 2, "one two")}
 		}, true},
-		{"parts in the wrong order", func(d *dispatch.Dispatch) []any {
+		{"parts out of order", func(d *dispatch.Dispatch) []any {
 			return []any{head(d), part(id(d), 1, "two"), part(id(d), 0, "one "), end(d, 2, "one two")}
 		}, false},
-		{"a part missing", func(d *dispatch.Dispatch) []any {
+		{"missing part", func(d *dispatch.Dispatch) []any {
 			return []any{head(d), part(id(d), 0, "one "), end(d, 2, "one two")}
 		}, false},
-		{"a part changed", func(d *dispatch.Dispatch) []any {
+		{"corrupt part", func(d *dispatch.Dispatch) []any {
 			return []any{head(d), part(id(d), 0, "one "), part(id(d), 1, "tva"), end(d, 2, "one two")}
 		}, false},
-		{"the end of another request", func(d *dispatch.Dispatch) []any {
+		{"end of another request", func(d *dispatch.Dispatch) []any {
 			return []any{head(d), part(id(d), 0, "one "), &dispatch.AnswerEnd{ID: other(d), Seq: 1, Sum: sum("one ")}}
 		}, false},
-		{"another version", func(d *dispatch.Dispatch) []any {
+		{"wrong version", func(d *dispatch.Dispatch) []any {
 			h := &dispatch.AnswerHead{ID: d.ID, Digest: "v2", Status: 200}
 			return []any{h, part(id(d), 0, "one two"), end(d, 1, "one two")}
 		}, false},
-		{"no end", func(d *dispatch.Dispatch) []any {
+		{"missing end", func(d *dispatch.Dispatch) []any {
 			return []any{head(d), part(id(d), 0, "one "), part(id(d), 1, "two")}
 		}, false},
 	}
@@ -114,15 +116,15 @@
 				name += ", streamed"
 			}
 			t.Run(name, func(t *testing.T) {
-				bubble(t, &Stack{Gateways: 1, Engines: 1, Config: limits}, func(t *testing.T, s *Stack) {
+				runInBubble(t, &Stack{Gateways: 1, Engines: 1, Config: shortLimits}, func(t *testing.T, s *Stack) {
 					is := is.New(t)
-					doctor(s, "h0-engine0", tc.answer)
+					installFakeAgent(s, "h0-engine0", tc.answer)
 					time.Sleep(2 * time.Second)
 					resp, text, err := s.chat(t, "unsafe", stream)
-					whole := err == nil && resp.StatusCode == http.StatusOK && text == "one two"
-					is.Equal(whole, tc.whole)
-					if !tc.whole {
-						// Never shown as complete, and never called "not run".
+					complete := err == nil && resp.StatusCode == http.StatusOK && text == "one two"
+					is.Equal(complete, tc.complete)
+					if !tc.complete {
+						// It is neither passed on as complete nor reported as not run.
 						is.True(err != nil || resp.StatusCode >= 500)
 						is.True(!strings.Contains(text, `"not_run"`))
 					}
@@ -153,54 +155,55 @@
 	return resp, string(data), err
 }
 
-// An engine that checks no orders takes a load from somebody else. No answer of
-// that version may pass, and the agent loads its own again.
+// An engine that does not check the sender of orders loads another version on the order of
+// somebody else. No answer of that version may reach a caller, and the agent loads its own
+// version again.
 func TestForeignOrderIsNoticed(t *testing.T) {
-	bubble(t, &Stack{Gateways: 1, Engines: 1, Config: limits}, func(t *testing.T, s *Stack) {
+	runInBubble(t, &Stack{Gateways: 1, Engines: 1, Config: shortLimits}, func(t *testing.T, s *Stack) {
 		is := is.New(t)
 		foreign := &engine.Client{URL: "http://h0-engine0:7200", HTTP: s.Client()}
 		_, err := foreign.Order(t.Context(), engine.Order{Kind: engine.OrderLoad, Digest: s.Digests["v2"], Source: "http://origin:1"})
 		is.NoErr(err)
 		for i := range 30 {
 			resp, text, err := s.chat(t, "safe", i%2 == 0)
-			is.True(!strings.Contains(text, s.Digests["v2"])) // An answer of a version that was not asked for.
+			is.True(!strings.Contains(text, s.Digests["v2"])) // No answer of the foreign version.
 			is.True(err != nil || resp.Header.Get(gateway.HeaderVersion) != s.Digests["v2"])
 			time.Sleep(200 * time.Millisecond)
 		}
 		resp, _, err := s.chat(t, "safe", false)
 		is.NoErr(err)
-		is.Equal(resp.StatusCode, http.StatusOK) // The agent's own version is back.
+		is.Equal(resp.StatusCode, http.StatusOK) // The agent has loaded its own version again.
 	})
 }
 
-// endless ends a stream before its last event.
-type endless struct {
+// truncatedStream is the body of a streamed answer without its last event.
+type truncatedStream struct {
 	io.ReadCloser
-	over bool
+	ended bool
 }
 
-func (e *endless) Read(p []byte) (int, error) {
-	if e.over {
+func (e *truncatedStream) Read(p []byte) (int, error) {
+	if e.ended {
 		return 0, io.EOF
 	}
 	n, err := e.ReadCloser.Read(p)
 	if i := bytes.Index(p[:n], []byte("data: [DONE]")); i >= 0 {
-		e.over = true
+		e.ended = true
 		return i, nil
 	}
 	return n, err
 }
 
-// An engine that ends its streams without the last event gives no whole answer.
+// A stream that an engine ends without the last event is not passed on as complete.
 func TestStreamWithoutItsEndIsNotComplete(t *testing.T) {
-	s := &Stack{Gateways: 1, Engines: 1, Config: limits}
+	s := &Stack{Gateways: 1, Engines: 1, Config: shortLimits}
 	s.Transport.Wrap = func(r *http.Request, body io.ReadCloser) io.ReadCloser {
 		if r.URL.Host == "h0-engine0:7200" && strings.HasSuffix(r.URL.Path, "/completions") {
-			return &endless{ReadCloser: body}
+			return &truncatedStream{ReadCloser: body}
 		}
 		return body
 	}
-	bubble(t, s, func(t *testing.T, s *Stack) {
+	runInBubble(t, s, func(t *testing.T, s *Stack) {
 		is := is.New(t)
 		_, text, err := s.chat(t, "unsafe", true)
 		is.True(err != nil || strings.Contains(text, "event: error"))
@@ -208,20 +211,20 @@
 	})
 }
 
-// An agent that is frozen through the dispatch, the void and the deadline, and
-// then wakes with the frame in its buffers, must not start it: the caller was
-// answered long ago. The caller of an unsafe request is told "unknown" at its
-// deadline at the latest, and the request runs at most once.
+// An agent is frozen during the dispatch, the void and the deadline of a request, and then resumes
+// with the frame in its buffers. It must not start the request, whose caller has long been
+// answered. The caller of an unsafe request gets "unknown" or "not_run" at its deadline at the
+// latest, and the request runs at most once.
 func TestFrozenAgentStartsNothingLate(t *testing.T) {
-	bubble(t, &Stack{Gateways: 1, Engines: 1, Config: limits}, func(t *testing.T, s *Stack) {
+	runInBubble(t, &Stack{Gateways: 1, Engines: 1, Config: shortLimits}, func(t *testing.T, s *Stack) {
 		is := is.New(t)
 		s.Freeze("h0-engine0", true)
-		began := time.Now()
+		start := time.Now()
 		resp, text, err := s.chat(t, "unsafe", false)
 		is.NoErr(err)
 		is.True(resp.StatusCode >= 500)
 		is.True(strings.Contains(text, `"unknown"`) || strings.Contains(text, `"not_run"`))
-		is.True(time.Since(began) <= 3*time.Second) // At its deadline at the latest.
+		is.True(time.Since(start) <= 3*time.Second) // The request's timeout.
 		time.Sleep(2 * time.Second)
 		s.Freeze("h0-engine0", false)
 		time.Sleep(10 * time.Second)
@@ -229,12 +232,12 @@
 	})
 }
 
-// A safe request whose answer breaks off before any of it reached its caller is
-// tried elsewhere; a streamed one, of which parts went out, is not.
+// A safe request whose answer is truncated before any of it has reached the caller is retried on
+// another engine. A streamed one, of which parts have been sent, is not.
 func TestBrokenAnswerIsTriedElsewhereIfNothingWasShown(t *testing.T) {
-	bubble(t, &Stack{Gateways: 1, Engines: 2, Config: limits}, func(t *testing.T, s *Stack) {
+	runInBubble(t, &Stack{Gateways: 1, Engines: 2, Config: shortLimits}, func(t *testing.T, s *Stack) {
 		is := is.New(t)
-		doctor(s, "h0-engine0", func(d *dispatch.Dispatch) []any {
+		installFakeAgent(s, "h0-engine0", func(d *dispatch.Dispatch) []any {
 			return []any{
 				&dispatch.AnswerHead{ID: d.ID, Digest: d.Digest, Status: 200, ContentType: "application/json"},
 				&dispatch.AnswerData{ID: d.ID, Data: []byte("{")},
@@ -242,14 +245,14 @@
 			}
 		})
 		time.Sleep(2 * time.Second)
-		const least, most = 20, 200 // Requests: until a streamed one was drawn to the broken engine.
+		const minRequests, maxRequests = 20, 200 // Until a streamed request was sent to the broken engine.
 		broken := 0
-		for i := 0; i < least || broken == 0 && i < most; i++ {
+		for i := 0; i < minRequests || broken == 0 && i < maxRequests; i++ {
 			resp, text, err := s.chat(t, "safe", i%2 == 0)
 			if i%2 == 1 {
 				is.NoErr(err)
 				is.Equal(resp.StatusCode, http.StatusOK)
-				is.True(json.Valid([]byte(text))) // And not what the broken one began with.
+				is.True(json.Valid([]byte(text))) // It does not contain the beginning of the broken answer.
 			} else if err != nil || strings.Contains(text, "event: error") {
 				broken++
 			}
--- a/internal/stack/measure_test.go
+++ b/internal/stack/measure_test.go
@@ -16,21 +16,22 @@
 )
 
 var (
-	measure     = flag.Bool("measure", false, "print the figures of policies under load, in virtual time")
-	measureOnly = flag.String("measure.only", "", "only this case")
+	measure     = flag.Bool("measure", false, "print measurements of routing policies under load, in virtual time")
+	measureOnly = flag.String("measure.only", "", "measure only this case")
 )
 
-// The measured hall: 10 engines of 8 slots, an answer of 16 tokens in 190 ms.
+// Parameters of a measured hall: 10 engines of 8 slots, which give an answer of 16 tokens in 190 ms.
 const (
 	measuredEngines = 10
 	measuredTokens  = 16
 	firstToken      = 30 * time.Millisecond
 	perToken        = 10 * time.Millisecond
 	slots           = 8
-	// capacity is what the hall answers, in requests a second.
+	// capacity is the number of requests per second that the hall can answer.
 	capacity = float64(measuredEngines*slots) / (0.030 + measuredTokens*0.010)
 )
 
+// chooser is a routing policy: it chooses the upstream of a request.
 type chooser func(r *route.Router, now time.Time, cs []*route.Upstream, q route.Query) *route.Upstream
 
 func roundRobin() chooser {
@@ -46,7 +47,8 @@
 	}
 }
 
-// leastOfTwo knows a gateway's own requests alone, without prefixes.
+// leastOfTwo chooses the less loaded of two random upstreams. It counts only the gateway's own
+// requests and ignores prefixes.
 func leastOfTwo() chooser {
 	return func(_ *route.Router, _ time.Time, cs []*route.Upstream, _ route.Query) *route.Upstream {
 		a, b := cs[rand.IntN(len(cs))], cs[rand.IntN(len(cs))]
@@ -69,55 +71,55 @@
 
 const measuredConfig = "limits: {deadline: 10s, max_deadline: 20s, key_window: 60s, queue: 400}\nweights: {window: 400ms}\n"
 
-type measured struct {
-	name     string
-	slow     bool // One engine in ten is slow by 5 times.
-	prefixes int
-	halls    int
-	lost     bool // The last hall's engines die.
-	config   string
-	loads    func() []*load.Run
+type measureCase struct {
+	name       string
+	slowEngine bool // One engine in ten is slower by a factor of 5.
+	prefixes   int
+	halls      int
+	loseHall   bool // The engines of the last hall are killed during the load.
+	config     string
+	newLoads   func() []*load.Run
 }
 
-func steady(rate float64, over time.Duration) func() []*load.Run {
-	return func() []*load.Run { return []*load.Run{{Rate: rate, For: over}} }
+func steadyLoad(rate float64, duration time.Duration) func() []*load.Run {
+	return func() []*load.Run { return []*load.Run{{Rate: rate, For: duration}} }
 }
 
-// TestMeasure prints what docs/design/load.md quotes; scripts/measure runs it.
+// TestMeasure prints the measurements that docs/design/load.md quotes; scripts/measure runs it.
 func TestMeasure(t *testing.T) {
 	if !*measure {
 		return
 	}
-	cases := []measured{
-		{name: "steady_60", halls: 1, loads: steady(0.6*capacity, 10*time.Second)},
-		{name: "slow_one_in_ten", slow: true, loads: steady(0.6*capacity, 10*time.Second)},
-		{name: "prefixes_60", prefixes: 60, loads: steady(0.6*capacity, 10*time.Second)},
-		{name: "overload_3x", loads: steady(3*capacity, 10*time.Second)},
-		{name: "burst_10x", loads: func() []*load.Run {
+	cases := []measureCase{
+		{name: "steady_60", halls: 1, newLoads: steadyLoad(0.6*capacity, 10*time.Second)},
+		{name: "slow_one_in_ten", slowEngine: true, newLoads: steadyLoad(0.6*capacity, 10*time.Second)},
+		{name: "prefixes_60", prefixes: 60, newLoads: steadyLoad(0.6*capacity, 10*time.Second)},
+		{name: "overload_3x", newLoads: steadyLoad(3*capacity, 10*time.Second)},
+		{name: "burst_10x", newLoads: func() []*load.Run {
 			return []*load.Run{{Rate: 0.3 * capacity, For: 10 * time.Second, BurstAt: 3 * time.Second, BurstFor: 2 * time.Second, BurstFactor: 10}}
 		}},
-		{name: "hall_lost", halls: 2, lost: true, loads: steady(0.5*capacity, 10*time.Second)},
+		{name: "hall_lost", halls: 2, loseHall: true, newLoads: steadyLoad(0.5*capacity, 10*time.Second)},
 	}
 	for _, c := range cases {
 		for _, p := range policies {
 			if *measureOnly != "" && *measureOnly != c.name {
 				continue
 			}
-			c.play(t, p.name, p.choose())
+			c.run(t, p.name, p.choose())
 		}
 	}
 	if *measureOnly == "" || *measureOnly == "organisations" {
-		organisations(t)
+		measureOrganisations(t)
 	}
 }
 
-func (c *measured) stack(choose chooser) (*Stack, *[]*standin.Engine) {
+func (c *measureCase) newStack(choose chooser) (*Stack, *[]*standin.Engine) {
 	engines := &[]*standin.Engine{}
 	s := &Stack{
 		Halls: c.halls, Gateways: 2, Engines: measuredEngines, Slots: slots, Queue: slots, Config: measuredConfig + c.config,
-		Engine: func(i int) *standin.Engine {
+		NewEngine: func(i int) *standin.Engine {
 			e := &standin.Engine{FirstToken: firstToken, PerToken: perToken, Batch: slots, Prefixes: 12}
-			if c.slow && i == 0 {
+			if c.slowEngine && i == 0 {
 				e.FirstToken, e.PerToken = 5*firstToken, 5*perToken
 			}
 			*engines = append(*engines, e)
@@ -128,12 +130,12 @@
 	return s, engines
 }
 
-// play runs one case under one policy and prints its line.
-func (c *measured) play(t *testing.T, policy string, choose chooser) {
-	s, engines := c.stack(choose)
-	bubble(t, s, func(t *testing.T, s *Stack) {
-		time.Sleep(10 * time.Second) // Past the slow start.
-		if c.lost {
+// run runs one case under one policy and prints a line with its measurements.
+func (c *measureCase) run(t *testing.T, policy string, choose chooser) {
+	s, engines := c.newStack(choose)
+	runInBubble(t, s, func(t *testing.T, s *Stack) {
+		time.Sleep(10 * time.Second) // Until the slow start is over.
+		if c.loseHall {
 			time.AfterFunc(2*time.Second, func() {
 				for name, b := range s.Boxes {
 					if b.Hall == fmt.Sprintf("h%d", c.halls-1) && b.Class == "engine" {
@@ -142,15 +144,15 @@
 				}
 			})
 		}
-		began := time.Now()
-		sums := s.loads(t, c.loads(), c.prefixes)
-		hits, asked := 0, 0
+		start := time.Now()
+		sums := s.runLoads(t, c.newLoads(), c.prefixes)
+		hits, lookups := 0, 0
 		for _, e := range *engines {
 			h, a := e.CacheHits()
-			hits, asked = hits+h, asked+a
+			hits, lookups = hits+h, lookups+a
 		}
 		sum := sums[0]
-		over := max(c.loads()[0].For, time.Since(began)).Seconds()
+		elapsed := max(c.newLoads()[0].For, time.Since(start)).Seconds()
 		runs := 0
 		for _, l := range s.Ledgers {
 			for _, n := range l.Runs() {
@@ -163,18 +165,18 @@
 		}
 		fmt.Printf("case=%s policy=%s sent=%d answers=%d first_p50_ms=%.0f first_p95_ms=%.0f first_p99_ms=%.0f goodput=%.3f runs_for_each_answer=%.3f "+
 			"prefix_hits=%.3f refused=%s unknown=%d wrong=%d lost=%d doubled=%d false_not_run=%d took_s=%.1f\n",
-			c.name, policy, sum.Sent, sum.Answers, sum.FirstP50, sum.FirstP95, sum.FirstP99, float64(sum.Answers)/over/capacity,
-			float64(runs)/float64(max(1, sum.Answers)), float64(hits)/float64(max(1, asked)), refused, sum.Unknown,
-			sum.Wrong, sum.Lost, sum.Doubled, sum.FalseNotRun, time.Since(began).Seconds())
+			c.name, policy, sum.Sent, sum.Answers, sum.FirstP50, sum.FirstP95, sum.FirstP99, float64(sum.Answers)/elapsed/capacity,
+			float64(runs)/float64(max(1, sum.Answers)), float64(hits)/float64(max(1, lookups)), refused, sum.Unknown,
+			sum.Wrong, sum.Lost, sum.Doubled, sum.FalseNotRun, time.Since(start).Seconds())
 	})
 }
 
-// loads runs several loads at the same time.
-func (s *Stack) loads(t *testing.T, runs []*load.Run, prefixes int) []*load.Summary {
+// runLoads runs several loads concurrently and returns their summaries.
+func (s *Stack) runLoads(t *testing.T, runs []*load.Run, prefixes int) []*load.Summary {
 	sums := make([]*load.Summary, len(runs))
 	var wg sync.WaitGroup
 	for i, r := range runs {
-		base := s.runner(r.Rate, r.For)
+		base := s.newLoad(r.Rate, r.For)
 		r.Gateways, r.Ledgers, r.Services, r.Client = base.Gateways, base.Ledgers, base.Services, base.Client
 		r.VaryTokens = true
 		r.Tokens, r.Timeout, r.Mix, r.Prefixes, r.Seed = measuredTokens, 10*time.Second, load.Mix{Stream: 1}, prefixes, uint64(i+1)
@@ -191,10 +193,9 @@
 	return sums
 }
 
-// organisations prints the first-token times of small organisations alone, and
-// beside a large one at 20 times its share; with fair queueing, and with all in
-// one queue as the baseline.
-func organisations(t *testing.T) {
+// measureOrganisations prints the first-token times of a small organisation alone, and beside a
+// large one at 20 times its load: with fair queueing, and with both in one queue as the baseline.
+func measureOrganisations(t *testing.T) {
 	small := func(org string) *load.Run {
 		return &load.Run{Rate: 0.2 * capacity, For: 10 * time.Second, Organisations: []string{org}}
 	}
@@ -211,11 +212,11 @@
 		{"small_beside_large_one_queue", []*load.Run{small("large"), large("large")}},
 	}
 	for _, c := range cases {
-		m := &measured{config: declared}
-		s, _ := m.stack(nil)
-		bubble(t, s, func(t *testing.T, s *Stack) {
+		m := &measureCase{config: declared}
+		s, _ := m.newStack(nil)
+		runInBubble(t, s, func(t *testing.T, s *Stack) {
 			time.Sleep(10 * time.Second)
-			sum := s.loads(t, c.loads, 0)[0]
+			sum := s.runLoads(t, c.loads, 0)[0]
 			fmt.Printf("case=%s policy=poststand sent=%d answers=%d first_p50_ms=%.0f first_p95_ms=%.0f first_p99_ms=%.0f wrong=%d lost=%d\n",
 				c.name, sum.Sent, sum.Answers, sum.FirstP50, sum.FirstP95, sum.FirstP99, sum.Wrong, sum.Lost)
 		})
--- a/internal/stack/spill_test.go
+++ b/internal/stack/spill_test.go
@@ -10,9 +10,10 @@
 	"github.com/poststand/poststand/internal/load"
 )
 
-// A hall that has lost its engines sends its requests to the other, once.
+// The gateway of a hall whose engines are all down sends its requests to the other hall, and
+// none runs twice.
 func TestLostHallSpills(t *testing.T) {
-	bubble(t, &Stack{Halls: 2, Gateways: 1, Engines: 2, Config: limits}, func(t *testing.T, s *Stack) {
+	runInBubble(t, &Stack{Halls: 2, Gateways: 1, Engines: 2, Config: shortLimits}, func(t *testing.T, s *Stack) {
 		is := is.New(t)
 		s.Kill("h0-engine0")
 		s.Kill("h0-engine1")
@@ -23,11 +24,11 @@
 			is.Equal(resp.StatusCode, http.StatusOK)
 			is.True(len(text) > 0)
 		}
-		r := s.runner(50, 5*time.Second)
+		r := s.newLoad(50, 5*time.Second)
 		r.Mix = load.Mix{Whole: 1, Stream: 1}
 		sum, err := r.Do(t.Context())
 		is.NoErr(err)
-		noPromiseBroken(t, sum)
+		requireNoViolations(t, sum)
 		is.Equal(sum.Answers, sum.Sent)
 	})
 }
--- a/internal/stack/stack.go
+++ b/internal/stack/stack.go
@@ -21,29 +21,31 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Stack is a deployment. Set the exported fields, then Start.
+// Stack is a simulated deployment. Set the fields down to Transport, then call Start.
 type Stack struct {
-	Halls    int // 1 by default.
-	Gateways int // In each hall.
-	Engines  int // In each hall.
-	Plains   int // In each hall.
-	Slots    int // Of each agent; 8 by default.
-	Queue    int // Of each agent; 16 by default.
-	Engine   func(i int) *standin.Engine
-	Config   string // Further sections of the configuration.
-	// OriginLink is the origin's bytes a second, after the first copy; 0 is no limit.
+	Halls      int // 1 by default.
+	Gateways   int // In each hall.
+	Engines    int // In each hall.
+	PlainBoxes int // In each hall.
+	Slots      int // Of each agent; 8 by default.
+	Queue      int // Of each agent; 16 by default.
+	NewEngine  func(i int) *standin.Engine
+	Config     string // Additional sections of the configuration.
+	// OriginLink is the rate of the origin's link, in bytes per second, after the first copy; 0
+	// means no limit.
 	OriginLink float64
 	Options    gateway.Options
-	// WrapConn, if set, may break a connection between two boxes.
+	// WrapConn, if set, wraps each connection between two boxes, to inject faults. The listening
+	// side passes its own name as from and an empty to.
 	WrapConn func(nc net.Conn, from, to string) net.Conn
-	// Transport reaches the stand-ins; its Wrap may break their answers.
+	// Transport connects to the stand-ins. Set its Wrap to inject faults into their answers.
 	Transport simnet.Transport
 
 	Net      *simnet.Network
 	Platform *standin.Platform
 	Origin   *standin.Origin
 	Boxes    map[string]fleet.Box
-	Digests  map[string]string // Of the versions v1 and v2.
+	Digests  map[string]string // Of v1 and v2 of the model and of the adapter, by those names.
 
 	Ledgers map[string]*standin.Ledger
 
@@ -53,13 +55,13 @@
 	hosts     map[string]http.Handler
 }
 
-// process is the means to end a process.
+// process is a running process: cancel stops it, done is closed when it has ended.
 type process struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// Start starts everything and publishes version v1.
+// Start publishes a configuration with version v1 and starts all processes.
 func (s *Stack) Start() error {
 	s.Halls = max(1, s.Halls)
 	s.Net = &simnet.Network{Small: 1 << 30, Latency: latency}
@@ -68,7 +70,7 @@
 	s.processes, s.agents = map[string]process{}, map[string]*agent.Agent{}
 	s.hosts, s.Ledgers = map[string]http.Handler{}, map[string]*standin.Ledger{}
 	s.hosts["platform:1"], s.hosts["origin:1"] = s.Platform, s.Origin
-	s.Transport.Find = s.find
+	s.Transport.Find = s.findHost
 	for _, v := range []string{"v1", "v2"} {
 		const size, chunk = 64 << 10, 8 << 10
 		d, err := s.Origin.Add(standin.Artifact{Model: "m", Version: v, Bytes: size, ChunkSize: chunk})
@@ -85,7 +87,7 @@
 	for h := range s.Halls {
 		s.addHall(h)
 	}
-	s.Apply("v1")
+	s.PublishVersion("v1")
 	s.Platform.SetFleet(s.Boxes)
 	for _, name := range rendezvous.Sorted(s.Boxes) {
 		if err := s.StartBox(name); err != nil {
@@ -95,9 +97,10 @@
 	return nil
 }
 
-// adapter is the one that the model service has.
+// adapter is the name of the model service's adapter.
 const adapter = "gentle"
 
+// latency returns a delay of 0.5 to 0.6 ms, fixed for each pair of boxes.
 func latency(a, b string) time.Duration {
 	return 500*time.Microsecond + time.Duration(rendezvous.Score(a, b)%100_000)
 }
@@ -112,50 +115,51 @@
 	}
 	add(fleet.ClassGateway, s.Gateways)
 	add("engine", s.Engines)
-	add("plain", s.Plains)
+	add("plain", s.PlainBoxes)
 	for i := range s.Engines {
 		e := &standin.Engine{FirstToken: 5 * time.Millisecond, PerToken: time.Millisecond, Batch: 8}
-		if s.Engine != nil {
-			e = s.Engine(i)
+		if s.NewEngine != nil {
+			e = s.NewEngine(i)
 		}
 		e.HTTP = &http.Client{Transport: &s.Transport}
 		name := fmt.Sprintf("%s-engine%d", hall, i)
 		s.hosts[name+":7200"], s.Ledgers[name] = e, &e.Ledger
 	}
-	for i := range s.Plains {
+	for i := range s.PlainBoxes {
 		p := &standin.Plain{Name: "plain", Takes: 2 * time.Millisecond}
 		name := fmt.Sprintf("%s-plain%d", hall, i)
 		s.hosts[name+":7200"], s.Ledgers[name] = p, &p.Ledger
 	}
 }
 
-func (s *Stack) find(host string) http.Handler {
+func (s *Stack) findHost(host string) http.Handler {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hosts[host]
 }
 
-// Apply publishes a configuration with the given version in force.
-func (s *Stack) Apply(version string) uint64 {
+// PublishVersion publishes a configuration whose model service has the given version, and returns
+// its revision.
+func (s *Stack) PublishVersion(version string) uint64 {
 	var b bytes.Buffer
 	engines, plains, halls := "", "", ""
 	for h := range s.Halls {
 		halls += fmt.Sprintf("h%d: {}, ", h)
 		engines += fmt.Sprintf("h%d: %d, ", h, s.Engines)
-		plains += fmt.Sprintf("h%d: %d, ", h, s.Plains)
+		plains += fmt.Sprintf("h%d: %d, ", h, s.PlainBoxes)
 	}
 	fmt.Fprintf(&b, "halls: {%s}\n", halls)
 	fmt.Fprintf(&b, "models: {m: {versions: {v1: {manifest: %q}, v2: {manifest: %q}}, adapters: {%s: {manifest: %q}}}}\n",
 		s.Digests["v1"], s.Digests["v2"], adapter, s.Digests[adapter])
 	fmt.Fprintf(&b, "services:\n  chat: {boxes: engine, model: m, version: %s, adapters: [%s], replicas: {%s}}\n", version, adapter, engines)
-	if s.Plains > 0 {
+	if s.PlainBoxes > 0 {
 		fmt.Fprintf(&b, "  plain: {kind: plain, boxes: plain, replicas: {%s}}\n", plains)
 	}
 	b.WriteString(s.Config)
 	return s.Platform.Publish(map[string][]byte{"all.yaml": b.Bytes()})
 }
 
-func (s *Stack) common(b fleet.Box) settings.Common {
+func (s *Stack) commonSettings(b fleet.Box) settings.Common {
 	return settings.Common{
 		Cluster: "c", Box: b.Name, Hall: b.Hall, Listen: b.Name, DrainFor: time.Minute, MaxConns: 4096,
 		Join: []string{"h0-gateway0"},
@@ -204,7 +208,7 @@
 	o := s.Options
 	o.Dial, o.Platform = s.dial(b.Name), s.Client()
 	g, err := gateway.New(&settings.Gateway{
-		Common: s.common(b), Platform: "http://platform:1", MaxBody: 1 << 20, MaxAnswer: 1 << 20, MaxAttempts: 4,
+		Common: s.commonSettings(b), Platform: "http://platform:1", MaxBody: 1 << 20, MaxAnswer: 1 << 20, MaxAttempts: 4,
 	}, o)
 	if err != nil {
 		return nil, err
@@ -220,7 +224,7 @@
 
 func (s *Stack) startAgent(ctx context.Context, b fleet.Box, k *kernel.Kernel, p process) (*wire.Server, error) {
 	a, err := agent.New(&settings.Agent{
-		Common: s.common(b), Engine: "http://" + b.Name + ":7200", Source: b.Name + ":7500", Origin: "http://origin:1",
+		Common: s.commonSettings(b), Engine: "http://" + b.Name + ":7200", Source: b.Name + ":7500", Origin: "http://origin:1",
 		Memory: 1 << 20, Strategy: settings.StrategySwarm, Slots: max(8, s.Slots), Queue: max(16, s.Queue),
 	}, agent.Options{Dial: s.dial(b.Name), Engine: s.Client(), Origin: s.Client()})
 	if err != nil {
@@ -236,7 +240,7 @@
 	return a.Server(), nil
 }
 
-// Kill ends a box's process as a power cut would.
+// Kill ends a box's process at once, as a power cut does.
 func (s *Stack) Kill(name string) {
 	s.mu.Lock()
 	p := s.processes[name]
@@ -254,14 +258,14 @@
 	return s.agents[name]
 }
 
-// Caller returns what a caller reaches a gateway by.
-func (s *Stack) Caller(name string) http.Handler { return s.find(name + ":80") }
+// CallerHandler returns the handler of a gateway for callers' requests.
+func (s *Stack) CallerHandler(name string) http.Handler { return s.findHost(name + ":80") }
 
 // Client returns an HTTP client whose hosts are "BOX:80" and "BOX:7200".
 func (s *Stack) Client() *http.Client { return &http.Client{Transport: &s.Transport} }
 
-// Freeze stalls everything that a box sends and receives, as a stopped process
-// or a dead switch does, or ends that.
+// Freeze stalls all traffic of a box with the others, as a stopped process or a dead switch
+// does, or resumes it.
 func (s *Stack) Freeze(name string, frozen bool) {
 	for other := range s.Boxes {
 		if other != name {
@@ -270,8 +274,8 @@
 	}
 }
 
-// Ready waits until every engine's agent serves a version, for at most a minute.
-func (s *Stack) Ready(version string) error {
+// WaitReady waits for at most a minute until every engine's agent serves a version.
+func (s *Stack) WaitReady(version string) error {
 	deadline := time.Now().Add(time.Minute)
 	for time.Now().Before(deadline) {
 		n := 0
@@ -284,7 +288,7 @@
 		want := len(s.agents)
 		s.mu.Unlock()
 		if n == want {
-			time.Sleep(time.Second) // For the reports to reach the gateways.
+			time.Sleep(time.Second) // Until the gateways have received the reports.
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -292,11 +296,11 @@
 	return fault.New(fault.NotReady, version)
 }
 
-// Stop ends every process.
+// Stop kills all processes and waits until their goroutines have ended.
 func (s *Stack) Stop() {
 	s.Platform.SetMode(standin.Mode{Down: true})
 	for name := range s.Boxes {
 		s.Kill(name)
 	}
-	time.Sleep(3 * time.Minute) // For what still sleeps.
+	time.Sleep(3 * time.Minute) // Longer than any remaining sleep.
 }
--- a/internal/stack/stack_test.go
+++ b/internal/stack/stack_test.go
@@ -30,28 +30,28 @@
 	m.Run()
 }
 
-// bubble runs a test on a started deployment in virtual time.
-func bubble(t *testing.T, s *Stack, fn func(t *testing.T, s *Stack)) {
+// runInBubble starts a deployment in a synctest bubble, in virtual time, and runs a test on it.
+func runInBubble(t *testing.T, s *Stack, test func(t *testing.T, s *Stack)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		if err := s.Start(); err != nil {
 			t.Fatal(err)
 		}
 		defer s.Stop()
-		if err := s.Ready("v1"); err != nil {
+		if err := s.WaitReady("v1"); err != nil {
 			t.Fatal(err)
 		}
-		fn(t, s)
+		test(t, s)
 	})
 }
 
-// limits makes keys and deadlines short, so that runs are.
-const limits = "limits: {deadline: 5s, max_deadline: 5s, key_window: 18s}\nweights: {window: 400ms}\n"
+// shortLimits are configuration sections with short deadlines and key windows, to keep runs short.
+const shortLimits = "limits: {deadline: 5s, max_deadline: 5s, key_window: 18s}\nweights: {window: 400ms}\n"
 
-// runner returns a load on all gateways and ledgers.
-func (s *Stack) runner(rate float64, over time.Duration) *load.Run {
+// newLoad returns a load on all gateways that checks the ledgers of all boxes.
+func (s *Stack) newLoad(rate float64, duration time.Duration) *load.Run {
 	r := &load.Run{
-		Services: []string{"chat", "chat:" + adapter}, Plains: []string{"plain"}, Rate: rate, For: over, Timeout: 5 * time.Second,
+		Services: []string{"chat", "chat:" + adapter}, Plains: []string{"plain"}, Rate: rate, For: duration, Timeout: 5 * time.Second,
 		Tokens: 12, Mix: load.Mix{Whole: 3, Stream: 3, Plain: 1, Unsafe: 2, Keyed: 2}, Seed: 1, Client: s.Client(),
 	}
 	for name, b := range s.Boxes {
@@ -64,89 +64,91 @@
 	return r
 }
 
-func noPromiseBroken(t *testing.T, sum *load.Summary) {
+// requireNoViolations fails the test if an answer was wrong, lost or falsely reported as not run,
+// or an unsafe request ran twice.
+func requireNoViolations(t *testing.T, sum *load.Summary) {
 	t.Helper()
 	if sum.Wrong+sum.Lost+sum.Doubled+sum.FalseNotRun > 0 {
-		t.Fatalf("a promise was broken: %+v", *sum)
+		t.Fatalf("a guarantee to callers was violated: %+v", *sum)
 	}
 }
 
 func TestWholePathWithoutFaults(t *testing.T) {
-	bubble(t, &Stack{Halls: 3, Gateways: 2, Engines: 2, Plains: 1, Config: limits}, func(t *testing.T, s *Stack) {
+	runInBubble(t, &Stack{Halls: 3, Gateways: 2, Engines: 2, PlainBoxes: 1, Config: shortLimits}, func(t *testing.T, s *Stack) {
 		is := is.New(t)
-		time.Sleep(20 * time.Second) // Homes of keys have settled.
-		sum, err := s.runner(100, 5*time.Second).Do(t.Context())
+		time.Sleep(20 * time.Second) // Until the homes accept keys.
+		sum, err := s.newLoad(100, 5*time.Second).Do(t.Context())
 		is.NoErr(err)
-		noPromiseBroken(t, sum)
+		requireNoViolations(t, sum)
 		is.Equal(sum.Answers, sum.Sent)
 	})
 }
 
-// Versions change under load, there and back, and every answer is one
-// version's; engines that do not check orders are guarded by their agents.
+// Versions change back and forth under load, and every answer is of one version. Agents ensure
+// that also for engines that do not check orders.
 func TestSwapUnderLoadMixesNothing(t *testing.T) {
-	bubble(t, &Stack{Halls: 2, Gateways: 1, Engines: 3, Plains: 1, Config: limits}, func(t *testing.T, s *Stack) {
+	runInBubble(t, &Stack{Halls: 2, Gateways: 1, Engines: 3, PlainBoxes: 1, Config: shortLimits}, func(t *testing.T, s *Stack) {
 		is := is.New(t)
 		go func() {
 			for i := range 6 {
 				time.Sleep(1500 * time.Millisecond)
-				s.Apply([]string{"v2", "v1"}[i%2])
+				s.PublishVersion([]string{"v2", "v1"}[i%2])
 			}
 		}()
-		sum, err := s.runner(100, 10*time.Second).Do(t.Context())
+		sum, err := s.newLoad(100, 10*time.Second).Do(t.Context())
 		is.NoErr(err)
-		noPromiseBroken(t, sum)
-		is.Equal(len(sum.Versions), 2) // Both versions answered.
-		is.Equal(sum.Unknown, 0)       // A planned change cuts off nothing.
+		requireNoViolations(t, sum)
+		is.Equal(len(sum.Versions), 2) // Both versions gave answers.
+		is.Equal(sum.Unknown, 0)       // A planned change interrupts no request.
 	})
 }
 
-// cutter closes a connection from a box after it has sent some bytes.
-type cutter struct {
+// limitedConn is a connection that closes once its box has sent the remaining number of bytes.
+type limitedConn struct {
 	net.Conn
-	left *atomic.Int64
+	remaining *atomic.Int64
 }
 
-func (c *cutter) Write(b []byte) (int, error) {
-	left := c.left.Add(-int64(len(b)))
-	if left >= 0 || left < -int64(len(b)) {
+func (c *limitedConn) Write(b []byte) (int, error) {
+	remaining := c.remaining.Add(-int64(len(b)))
+	if remaining >= 0 || remaining < -int64(len(b)) {
 		return c.Conn.Write(b)
 	}
-	_, _ = c.Conn.Write(b[:int64(len(b))+left])
+	_, _ = c.Conn.Write(b[:int64(len(b))+remaining])
 	_ = c.Conn.Close()
 	return 0, net.ErrClosed
 }
 
-// An answer's connection is cut after each of its bytes in turn, on the agent's
-// side and on the gateway's. The caller gets the whole answer all the same: the
-// gateway asks what became of the request and attaches to the rest.
+// The connection of an answer breaks after a number of bytes that grows in steps of 7, on the
+// agent's side and on the gateway's. The caller still gets the complete answer: the gateway asks
+// for the state of the request and attaches to the rest of the answer.
 func TestCutAtEveryByteOfAnAnswer(t *testing.T) {
-	var left atomic.Int64
+	var remaining atomic.Int64
 	for _, side := range []string{"h0-engine0", "h0-gateway0"} {
 		t.Run(side, func(t *testing.T) {
-			s := &Stack{Gateways: 1, Engines: 1, Config: limits}
+			s := &Stack{Gateways: 1, Engines: 1, Config: shortLimits}
 			s.WrapConn = func(nc net.Conn, from, _ string) net.Conn {
 				if from != side {
 					return nc
 				}
-				return &cutter{nc, &left}
+				return &limitedConn{nc, &remaining}
 			}
-			left.Store(1 << 40)
-			bubble(t, s, func(t *testing.T, s *Stack) {
+			remaining.Store(1 << 40)
+			runInBubble(t, s, func(t *testing.T, s *Stack) {
 				is := is.New(t)
-				most := int64(700)
+				limit := int64(700)
 				if side == "h0-gateway0" {
-					most = 400
+					limit = 400
 				}
-				for at := int64(0); at < most; at += 7 {
-					left.Store(at)
-					r := s.runner(1, time.Millisecond)
+				for at := int64(0); at < limit; at += 7 {
+					remaining.Store(at)
+					r := s.newLoad(1, time.Millisecond)
 					r.Mix, r.Tokens, r.Seed = load.Mix{Stream: 1}, 4, uint64(1000+at)
 					sum, err := r.Do(t.Context())
 					is.NoErr(err)
-					noPromiseBroken(t, sum)
+					requireNoViolations(t, sum)
 					is.Equal(fmt.Sprint(at, sum.Answers), fmt.Sprint(at, sum.Sent))
-					left.Store(1 << 40)
+					remaining.Store(1 << 40)
 					time.Sleep(6 * time.Second)
 				}
 			})
@@ -154,10 +156,10 @@
 	}
 }
 
-// A box that is to leave gets no new work within the bound of 2 s, by each way
-// of knowing: the fleet list, its own announcement, its death.
+// A box that leaves gets no new requests after the bound of 2 s, however the gateways find out:
+// from the fleet list, from its own announcement, or since it was killed or froze.
 func TestLeavingBoxGetsNoNewWork(t *testing.T) {
-	ways := map[string]func(s *Stack){
+	triggers := map[string]func(s *Stack){
 		"fleet list": func(s *Stack) {
 			b := s.Boxes["h0-engine0"]
 			b.Leaving = true
@@ -169,17 +171,17 @@
 		"death":        func(s *Stack) { s.Net.Remove("h0-engine0") },
 		"freeze":       func(s *Stack) { s.Freeze("h0-engine0", true) },
 	}
-	for name, leave := range ways {
+	for name, leave := range triggers {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, &Stack{Gateways: 2, Engines: 3, Plains: 1, Config: limits}, func(t *testing.T, s *Stack) {
+			runInBubble(t, &Stack{Gateways: 2, Engines: 3, PlainBoxes: 1, Config: shortLimits}, func(t *testing.T, s *Stack) {
 				is := is.New(t)
 				var wg sync.WaitGroup
 				wg.Go(func() {
-					r := s.runner(200, 8*time.Second)
+					r := s.newLoad(200, 8*time.Second)
 					r.Mix = load.Mix{Whole: 1, Stream: 1}
 					sum, err := r.Do(t.Context())
 					is.NoErr(err)
-					noPromiseBroken(t, sum)
+					requireNoViolations(t, sum)
 				})
 				time.Sleep(time.Second)
 				before := len(s.Ledgers["h0-engine0"].Runs())
@@ -195,12 +197,12 @@
 	}
 }
 
-// A planned stop under load cuts off nothing.
+// A planned stop under load interrupts no request.
 func TestDrainUnderLoadCutsOffNothing(t *testing.T) {
 	slow := func(int) *standin.Engine {
 		return &standin.Engine{FirstToken: 20 * time.Millisecond, PerToken: 80 * time.Millisecond, Batch: 64}
 	}
-	bubble(t, &Stack{Gateways: 2, Engines: 3, Plains: 2, Slots: 64, Queue: 64, Engine: slow, Config: limits}, func(t *testing.T, s *Stack) {
+	runInBubble(t, &Stack{Gateways: 2, Engines: 3, PlainBoxes: 2, Slots: 64, Queue: 64, NewEngine: slow, Config: shortLimits}, func(t *testing.T, s *Stack) {
 		is := is.New(t)
 		go func() {
 			for _, name := range []string{"h0-engine0", "h0-plain0", "h0-engine1"} {
@@ -211,62 +213,62 @@
 				_ = s.StartBox(name)
 			}
 		}()
-		r := s.runner(150, 10*time.Second)
-		r.Mix.Keyed = 0 // A key's home is refused while it is away.
+		r := s.newLoad(150, 10*time.Second)
+		r.Mix.Keyed = 0 // Requests with keys are refused while the home of the key is down.
 		sum, err := r.Do(t.Context())
 		is.NoErr(err)
-		noPromiseBroken(t, sum)
+		requireNoViolations(t, sum)
 		is.Equal(sum.Unknown, 0)
 		is.Equal(sum.Answers, sum.Sent)
 	})
 }
 
-// TestRandomFaultsOnTheWholePath kills, freezes, cuts, drains and swaps in any
-// order under load, with engines' answers cut as well. Invariants of gate, view
-// and queue are asserted in the program; here the callers and the ledgers are
-// compared.
+// TestRandomFaultsOnTheWholePath kills and freezes boxes, cuts connections between boxes and
+// swaps versions in random order under load, and truncates some of the engines' answers. The code
+// itself asserts the invariants of gate, view and queue; the test compares the answers that
+// callers received with the ledgers.
 func TestRandomFaultsOnTheWholePath(t *testing.T) {
-	for seed := range uint64(*longRuns) {
+	for seed := range uint64(*randomRuns) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := &Stack{Halls: 2, Gateways: 2, Engines: 3, Plains: 2, Config: limits}
+			s := &Stack{Halls: 2, Gateways: 2, Engines: 3, PlainBoxes: 2, Config: shortLimits}
 			rnd := rand.New(rand.NewPCG(seed, 8))
-			var cut atomic.Int64
+			var answers atomic.Int64
 			s.Transport.Wrap = func(r *http.Request, body io.ReadCloser) io.ReadCloser {
-				if strings.HasSuffix(r.URL.Path, "/completions") && strings.HasSuffix(r.URL.Host, ":7200") && cut.Add(1)%17 == 0 {
-					return &shortBody{body, 300}
+				if strings.HasSuffix(r.URL.Path, "/completions") && strings.HasSuffix(r.URL.Host, ":7200") && answers.Add(1)%17 == 0 {
+					return &truncatedBody{body, 300}
 				}
 				return body
 			}
-			bubble(t, s, func(t *testing.T, s *Stack) { randomFaults(t, s, rnd, seed) })
+			runInBubble(t, s, func(t *testing.T, s *Stack) { randomFaults(t, s, rnd, seed) })
 		})
 	}
 }
 
-var longRuns = flag.Int("stack.runs", 4, "random runs of the whole path")
+var randomRuns = flag.Int("stack.runs", 4, "number of seeds of TestRandomFaultsOnTheWholePath")
 
-// shortBody ends an engine's answer early.
-type shortBody struct {
+// truncatedBody is an engine's answer that breaks off after the remaining number of bytes.
+type truncatedBody struct {
 	io.ReadCloser
-	left int
+	remaining int
 }
 
-func (b *shortBody) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (b *truncatedBody) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
 		return 0, io.ErrUnexpectedEOF
 	}
-	n, err := b.ReadCloser.Read(p[:min(len(p), b.left)])
-	b.left -= n
+	n, err := b.ReadCloser.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
 	return n, err
 }
 
 func randomFaults(t *testing.T, s *Stack, rnd *rand.Rand, seed uint64) {
 	is := is.New(t)
-	const over = 40 * time.Second
+	const duration = 40 * time.Second
 	var names []string
 	for name := range s.Boxes {
 		names = append(names, name)
 	}
-	stop := time.Now().Add(over - 10*time.Second)
+	stop := time.Now().Add(duration - 10*time.Second)
 	finished := make(chan struct{})
 	go func() {
 		defer close(finished)
@@ -283,7 +285,7 @@
 				time.Sleep(pause * 2)
 				s.Freeze(name, false)
 			case 3:
-				s.Apply([]string{"v1", "v2"}[rnd.IntN(2)])
+				s.PublishVersion([]string{"v1", "v2"}[rnd.IntN(2)])
 			case 4:
 				other := names[rnd.IntN(len(names))]
 				s.Net.Cut(name, other, true)
@@ -293,48 +295,47 @@
 			time.Sleep(pause / 4)
 		}
 	}()
-	r := s.runner(80, over)
+	r := s.newLoad(80, duration)
 	r.Seed, r.GatewaysDie = seed+10, true
 	sum, err := r.Do(t.Context())
 	is.NoErr(err)
 	<-finished
 	t.Logf("%+v", *sum)
-	noPromiseBroken(t, sum)
+	requireNoViolations(t, sum)
 	is.True(sum.Answers > sum.Sent/2)
 }
 
-// A version is withdrawn while its transfer is under way, wanted again, and then
-// rolled back: the service answers throughout, and what a box still holds is
-// loaded without a fetch.
+// A version is withdrawn during its transfer, published again, and then rolled back. The service
+// answers throughout, and a version that a box still holds is loaded without fetching it again.
 func TestVersionChangedInMidTransfer(t *testing.T) {
-	slow := strings.Replace(limits, "window: 400ms", "window: 16s", 1)
-	const originLink = 8 << 10 // Eight seconds for a copy.
-	bubble(t, &Stack{Halls: 2, Gateways: 1, Engines: 3, Plains: 1, Config: slow, OriginLink: originLink}, func(t *testing.T, s *Stack) {
+	slow := strings.Replace(shortLimits, "window: 400ms", "window: 16s", 1)
+	const originLink = 8 << 10 // A copy takes eight seconds.
+	runInBubble(t, &Stack{Halls: 2, Gateways: 1, Engines: 3, PlainBoxes: 1, Config: slow, OriginLink: originLink}, func(t *testing.T, s *Stack) {
 		is := is.New(t)
 		done := make(chan *load.Summary)
 		go func() {
-			r := s.runner(50, 40*time.Second)
+			r := s.newLoad(50, 40*time.Second)
 			r.Mix.Keyed = 0
 			sum, err := r.Do(t.Context())
 			is.NoErr(err)
 			done <- sum
 		}()
 		before := s.Origin.Sent.Load()
-		s.Apply("v2")
-		time.Sleep(2 * time.Second) // Its chunks are on their way.
+		s.PublishVersion("v2")
+		time.Sleep(2 * time.Second) // Its chunks are being transferred.
 		is.True(s.Origin.Sent.Load() > before)
 		is.True(!s.Agent("h0-engine0").Serves(s.Digests["v2"]))
-		s.Apply("v1")
+		s.PublishVersion("v1")
 		time.Sleep(5 * time.Second)
-		is.NoErr(s.Ready("v1"))
-		s.Apply("v2")
-		is.NoErr(s.Ready("v2"))
+		is.NoErr(s.WaitReady("v1"))
+		s.PublishVersion("v2")
+		is.NoErr(s.WaitReady("v2"))
 		fetched := s.Origin.Sent.Load()
-		s.Apply("v1")
-		is.NoErr(s.Ready("v1"))
+		s.PublishVersion("v1")
+		is.NoErr(s.WaitReady("v1"))
 		is.Equal(s.Origin.Sent.Load(), fetched) // The rollback fetched nothing.
 		sum := <-done
-		noPromiseBroken(t, sum)
+		requireNoViolations(t, sum)
 		is.Equal(sum.Unknown, 0)
 		is.Equal(len(sum.Versions), 2)
 	})
