--- a/internal/simnet/conn.go
+++ b/internal/simnet/conn.go
@@ -9,48 +9,49 @@
 	"time"
 )
 
-// dies ends the connection since this side's process has. The other side notices, unless
-// the connection is silent.
-func (c *conn) dies(other *conn) {
+// closeOnExit closes the connection when the process of this side ends. The other side notices
+// unless the connection is silent.
+func (c *conn) closeOnExit(other *conn) {
 	if c.silent() && c.to.ctx.Err() == nil {
 		_ = c.Close()
 		return
 	}
-	c.net.over(c.shared)
+	c.net.removePath(c.path)
 	_, _ = c.Conn.Close(), other.Conn.Close()
 }
 
-// inFlight is how many writes of one direction may be between the links, as in
-// the buffers of a real path.
-const inFlight = 2
+// maxInFlight is the number of writes in one direction that may wait between the two links, like
+// in the buffers of a real network path.
+const maxInFlight = 2
 
-// conn is one direction's writes with the delays of its path.
+// conn is one side of a connection. It delays and delivers what this side writes; reads come from
+// the pipe as they are.
 type conn struct {
 	net.Conn
-	net      *Network
-	shared   *path
-	way      int
-	from, to *End
-	once     sync.Once
-	path     chan packet // Written and not yet delivered.
-	ended    chan struct{}
-	refused  chan struct{} // Closed when the other side takes nothing any more.
-	end      sync.Once
-	reset    atomic.Bool // Closing drops what is not yet delivered.
+	net           *Network
+	path          *path
+	direction     int
+	from, to      *End
+	startDelivery sync.Once
+	queue         chan packet // Writes that are not yet delivered.
+	closed        chan struct{}
+	refused       chan struct{} // Closed when the other side accepts no more bytes.
+	closeOnce     sync.Once
+	dropPending   atomic.Bool // Close drops writes that are not yet delivered.
 }
 
 type packet struct {
 	data []byte
-	due  time.Time // When the first of it reaches the other side.
+	due  time.Time // When its first byte reaches the other side.
 }
 
 // silent reports whether what is written is lost.
-func (c *conn) silent() bool { return c.shared.lost[c.way].Load() }
+func (c *conn) silent() bool { return c.path.lost[c.direction].Load() }
 
-// Silent reports whether what is written is lost, of which who writes notices nothing.
+// Silent reports whether what is written is lost, which Write does not report.
 func (c *conn) Silent() bool { return c.silent() }
 
-// RemoteAddr implements net.Conn: it is the name of the other end.
+// RemoteAddr implements net.Conn. It returns the name of the other end.
 func (c *conn) RemoteAddr() net.Addr { return addr(c.to.Name) }
 
 type addr string
@@ -61,20 +62,20 @@
 // String implements net.Addr.
 func (a addr) String() string { return string(a) }
 
-// SetLinger is that of a net.TCPConn: with 0, closing the connection drops what was
-// written and is not yet delivered.
+// SetLinger works like that of net.TCPConn: with 0, Close drops what was written and is not yet
+// delivered.
 func (c *conn) SetLinger(seconds int) error {
-	c.reset.Store(seconds == 0)
+	c.dropPending.Store(seconds == 0)
 	return nil
 }
 
-// Close implements net.Conn. What was written is still delivered, see SetLinger.
+// Close implements net.Conn. What was written is still delivered, unless SetLinger(0) was called.
 func (c *conn) Close() error {
 	var err error
-	c.end.Do(func() {
-		close(c.ended)
-		c.once.Do(func() {}) // Nothing can be written any more.
-		if !c.silent() && (c.path == nil || c.reset.Load()) {
+	c.closeOnce.Do(func() {
+		close(c.closed)
+		c.startDelivery.Do(func() {}) // A later Write must not start the delivery.
+		if !c.silent() && (c.queue == nil || c.dropPending.Load()) {
 			err = c.closePipe()
 			return
 		}
@@ -83,32 +84,32 @@
 	return err
 }
 
-// closePipe shows the other side that the connection is over, unless it is silent.
+// closePipe closes the connection for the other side too, unless it is silent.
 func (c *conn) closePipe() error {
 	if c.silent() {
 		return nil
 	}
-	c.net.over(c.shared)
+	c.net.removePath(c.path)
 	return c.Conn.Close()
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if err != nil && c.isEnded() {
+	if err != nil && c.isClosed() {
 		err = net.ErrClosed
 	}
 	return n, err
 }
 
-// Write implements net.Conn. It returns once the bytes have left on the up link
-// and there is room on the path.
+// Write implements net.Conn. It returns once the bytes have passed the up link and the queue has
+// room for them.
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.passable(); err != nil {
+	if err := c.waitPassable(); err != nil {
 		return 0, err
 	}
-	c.once.Do(func() {
-		c.path = make(chan packet, inFlight)
+	c.startDelivery.Do(func() {
+		c.queue = make(chan packet, maxInFlight)
 		go c.deliver()
 	})
 	p := packet{data: append([]byte(nil), b...)}
@@ -124,19 +125,19 @@
 		p.due = p.due.Add(c.net.Latency(c.from.Name, c.to.Name))
 	}
 	select {
-	case c.path <- p:
+	case c.queue <- p:
 		return len(b), nil
 	case <-c.refused:
-	case <-c.ended:
+	case <-c.closed:
 	case <-c.from.ctx.Done():
 	case <-c.to.ctx.Done():
 	}
 	return 0, net.ErrClosed
 }
 
-// hand gives the other side what has arrived there. The writer's deadline is over once
-// its bytes are on the path.
-func (c *conn) hand(b []byte) error {
+// writeToPipe passes bytes that have arrived to the other side. It ignores the writer's deadline,
+// which applies only until its bytes are queued.
+func (c *conn) writeToPipe(b []byte) error {
 	for {
 		n, err := c.Conn.Write(b)
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -147,20 +148,20 @@
 	}
 }
 
-// isEnded reports whether this side has closed the connection.
-func (c *conn) isEnded() bool {
+// isClosed reports whether this side has closed the connection.
+func (c *conn) isClosed() bool {
 	select {
-	case <-c.ended:
+	case <-c.closed:
 		return true
 	default:
 		return false
 	}
 }
 
-// passable waits while the pair is stalled, and fails when it is cut.
-func (c *conn) passable() error {
+// waitPassable waits while the two ends are stalled, and fails if they are cut.
+func (c *conn) waitPassable() error {
 	for {
-		cut, stalled, wake := c.net.state(c.from.Name, c.to.Name)
+		cut, stalled, wake := c.net.linkState(c.from.Name, c.to.Name)
 		if cut {
 			_ = c.Close()
 			return net.ErrClosed
@@ -170,7 +171,7 @@
 		}
 		select {
 		case <-wake:
-		case <-c.ended:
+		case <-c.closed:
 			return net.ErrClosed
 		case <-c.from.ctx.Done():
 			return net.ErrClosed
@@ -180,16 +181,17 @@
 	}
 }
 
-// deliver takes what was written over the down link, in order.
+// deliver transmits the queued writes over the down link, in order, until the connection closes
+// or one of the processes ends.
 func (c *conn) deliver() {
 	for {
 		var p packet
 		select {
-		case p = <-c.path:
+		case p = <-c.queue:
 		default:
 			select {
-			case p = <-c.path:
-			case <-c.ended:
+			case p = <-c.queue:
+			case <-c.closed:
 				_ = c.closePipe()
 				return
 			case <-c.from.ctx.Done():
@@ -202,13 +204,13 @@
 		if len(p.data) >= c.net.Small {
 			time.Sleep(time.Until(c.to.Down.reserve(time.Now(), len(p.data))))
 		}
-		if c.reset.Load() && c.isEnded() {
+		if c.dropPending.Load() && c.isClosed() {
 			return
 		}
 		if c.silent() {
 			continue
 		}
-		if c.hand(p.data) != nil {
+		if c.writeToPipe(p.data) != nil {
 			close(c.refused)
 			return
 		}
--- a/internal/simnet/handler.go
+++ b/internal/simnet/handler.go
@@ -8,12 +8,12 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Transport answers HTTP requests by calling a handler, so that outside systems
-// can be met in virtual time. Bodies stream.
+// Transport is an http.RoundTripper that calls a handler directly, so that tests in virtual time
+// can use HTTP. Bodies are streamed.
 type Transport struct {
-	// Find returns the handler for a host, or nil where nobody listens.
+	// Find returns the handler of a host, or nil if nothing listens there.
 	Find func(host string) http.Handler
-	// Wrap, if set, may cut an answer's body short.
+	// Wrap, if set, replaces the body of an answer, such as to truncate it.
 	Wrap func(r *http.Request, body io.ReadCloser) io.ReadCloser
 }
 
@@ -24,7 +24,7 @@
 		return nil, fault.New(fault.Unreachable, r.URL.Host)
 	}
 	pr, pw := io.Pipe()
-	w := &pipeWriter{header: http.Header{}, body: pw, ready: make(chan int, 1)}
+	w := &responseWriter{header: http.Header{}, body: pw, status: make(chan int, 1)}
 	ctx, cancel := context.WithCancel(r.Context())
 	in := r.Clone(ctx)
 	in.RequestURI, in.RemoteAddr = r.URL.RequestURI(), "127.0.0.1:1"
@@ -38,8 +38,8 @@
 	}()
 	context.AfterFunc(r.Context(), func() { _ = pr.CloseWithError(context.Cause(r.Context())) })
 	select {
-	case status := <-w.ready:
-		var body io.ReadCloser = &closer{Reader: pr, pipe: pr, cancel: cancel}
+	case status := <-w.status:
+		var body io.ReadCloser = &responseBody{Reader: pr, pipe: pr, cancel: cancel}
 		if t.Wrap != nil {
 			body = t.Wrap(r, body)
 		}
@@ -52,49 +52,51 @@
 	}
 }
 
-type closer struct {
+// responseBody is the body of a response. Closing it cancels the context of the handler.
+type responseBody struct {
 	io.Reader
 	pipe   *io.PipeReader
 	cancel func()
 }
 
 // Close implements io.Closer.
-func (c *closer) Close() error {
+func (c *responseBody) Close() error {
 	c.cancel()
 	return c.pipe.Close()
 }
 
-// pipeWriter is the http.ResponseWriter of a Transport.
-type pipeWriter struct {
-	header http.Header
-	body   *io.PipeWriter
-	ready  chan int // Gets the status once.
-	wrote  bool
+// responseWriter is the http.ResponseWriter that a Transport passes to a handler.
+type responseWriter struct {
+	header        http.Header
+	body          *io.PipeWriter
+	status        chan int // Receives the status code once.
+	headerWritten bool
 }
 
 // Header implements http.ResponseWriter.
-func (w *pipeWriter) Header() http.Header { return w.header }
+func (w *responseWriter) Header() http.Header { return w.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (w *pipeWriter) WriteHeader(status int) {
-	if !w.wrote {
-		w.wrote = true
+func (w *responseWriter) WriteHeader(status int) {
+	if !w.headerWritten {
+		w.headerWritten = true
 		w.header = w.header.Clone()
-		w.ready <- status
+		w.status <- status
 	}
 }
 
 // Write implements http.ResponseWriter.
-func (w *pipeWriter) Write(b []byte) (int, error) {
+func (w *responseWriter) Write(b []byte) (int, error) {
 	w.WriteHeader(http.StatusOK)
 	return w.body.Write(b)
 }
 
 // Flush implements http.Flusher.
-func (w *pipeWriter) Flush() { w.WriteHeader(http.StatusOK) }
+func (w *responseWriter) Flush() { w.WriteHeader(http.StatusOK) }
 
-// finish ends the body; a handler that aborted leaves it cut.
-func (w *pipeWriter) finish() {
+// finish ends the body after the handler returned. If the handler panicked with
+// http.ErrAbortHandler, the reader of the body gets io.ErrUnexpectedEOF.
+func (w *responseWriter) finish() {
 	switch r := recover(); r {
 	case nil:
 		w.WriteHeader(http.StatusOK)
--- a/internal/simnet/silence_test.go
+++ b/internal/simnet/silence_test.go
@@ -15,7 +15,8 @@
 	"github.com/poststand/poststand/internal/simnet"
 )
 
-// echo answers each byte with itself, and notes how the connection ended.
+// echo returns a Serve function that sends back what it receives, and reports how the connection
+// ended.
 func echo(ended chan<- error) func(ctx context.Context, nc net.Conn) {
 	return func(_ context.Context, nc net.Conn) {
 		_, err := io.Copy(nc, nc)
@@ -23,8 +24,8 @@
 	}
 }
 
-// A connection that goes silent carries nothing, and a close on it does not arrive; what
-// is opened afterwards works, and so does what was not meant.
+// A silent connection loses all data, and closing it does not reach the other side. Connections
+// that are opened afterwards, or not selected, work.
 func TestSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -34,7 +35,7 @@
 		for _, to := range []string{"b", "c"} {
 			n.Add(&simnet.End{Name: to, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: echo(ended)})
 		}
-		says := func(c net.Conn) error {
+		roundTrip := func(c net.Conn) error {
 			_ = c.SetDeadline(time.Now().Add(time.Second))
 			if _, err := c.Write([]byte("x")); err != nil {
 				return err
@@ -48,17 +49,17 @@
 			return c
 		}
 		old, other := dial("b"), dial("c")
-		is.NoErr(says(old))
+		is.NoErr(roundTrip(old))
 		n.Silence(func(_, to string) bool { return to == "b" })
-		is.True(errors.Is(says(old), os.ErrDeadlineExceeded))
-		is.NoErr(says(other))
+		is.True(errors.Is(roundTrip(old), os.ErrDeadlineExceeded))
+		is.NoErr(roundTrip(other))
 		fresh := dial("b")
-		is.NoErr(says(fresh))
+		is.NoErr(roundTrip(fresh))
 
 		is.NoErr(old.Close())
-		is.True(errors.Is(says(old), net.ErrClosed))
+		is.True(errors.Is(roundTrip(old), net.ErrClosed))
 		time.Sleep(time.Minute)
-		is.Equal(len(ended), 0) // The far side of it still waits.
+		is.Equal(len(ended), 0) // The listener's side is still waiting.
 		is.NoErr(fresh.Close())
 		is.NoErr(other.Close())
 		time.Sleep(time.Second)
--- a/internal/simnet/simnet.go
+++ b/internal/simnet/simnet.go
@@ -1,10 +1,16 @@
-// Package simnet fakes links for tests that run real code in virtual time.
+// Package simnet simulates a network for tests that run real code in virtual time.
 //
-// A Network joins named ends with net.Pipe. Every end has an up and a down
-// Link, which may be one and the same, of a given rate; bytes reserve time on
-// both in turn. Pairs of ends can be cut, which refuses and closes, or stalled,
-// which lets nothing through and closes nothing; open connections can go silent for
-// good while new ones work.
+// A Network connects named Ends, which stand for processes, by net.Pipe. Every End has an up and
+// a down Link of a given rate, which may be one and the same; what is written reserves time on
+// the sender's up link and then on the receiver's down link. Network.Latency adds the delay of
+// the path.
+//
+// A Network also injects faults. Cut closes the connections between two ends and refuses new
+// ones. Stall holds back everything between two ends and closes nothing. Silence makes open
+// connections lose what is written on them, for good, while new connections work. Reset closes
+// open connections and drops what is under way. Remove ends an End like the crash of a process.
+//
+// Transport is an http.RoundTripper that calls handlers without any network.
 package simnet
 
 import (
@@ -18,16 +24,16 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Link carries bytes one after another at a rate.
+// Link transmits bytes one after another at a rate.
 type Link struct {
-	Rate float64 // Bytes a second; 0 is no limit.
+	Rate float64 // In bytes per second; 0 means no limit.
 
 	mu   sync.Mutex
 	free time.Time
 	sent int64
 }
 
-// reserve books n bytes from a time on and returns when they have passed.
+// reserve schedules the transmission of n bytes from a time on and returns when it ends.
 func (l *Link) reserve(at time.Time, n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,24 +48,24 @@
 	return l.free
 }
 
-// SetRate changes the rate from now on.
+// SetRate changes the rate for later transmissions.
 func (l *Link) SetRate(rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Rate = rate
 }
 
-// Sent returns the bytes that the link has carried.
+// Sent returns the number of bytes that the link has transmitted.
 func (l *Link) Sent() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sent
 }
 
-// Carry takes n bytes over the up link and then the down link, in segments, and
-// returns when they have arrived. The next segment goes up while the one before
-// comes down. Time on a link is only ever booked from now on, so that a sender
-// that waits for one link leaves no gap on the other.
+// Carry transmits n bytes over the up link and then the down link, in segments, and returns when
+// they have arrived. A segment passes the up link while the one before passes the down link. Time
+// on a link is never reserved ahead of now, so that a sender that waits for one link leaves no
+// gap on the other.
 func Carry(up, down *Link, n int) {
 	const segment = 2 << 10
 	arrived := time.Now()
@@ -73,23 +79,24 @@
 	time.Sleep(time.Until(arrived))
 }
 
-// End is one process of a Network.
+// End is one process in a Network.
 type End struct {
 	Name  string
 	Up    *Link
 	Down  *Link
-	Serve func(ctx context.Context, nc net.Conn) // Takes connections from others.
+	Serve func(ctx context.Context, nc net.Conn) // Serves a connection from another end; nil refuses connections.
 
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// Network joins ends. Set its fields before use.
+// Network connects ends. Set its fields before use.
 type Network struct {
+	// Latency, if set, returns the one-way delay between two ends.
 	Latency func(from, to string) time.Duration
-	// Small is the size below which a write rides free of the links' rates. It
-	// keeps control messages, which are counted, from weighing as much against
-	// the small chunks of a test as they never would against real ones.
+	// Small is the size below which a write does not use the rate of the links. Tests have far
+	// smaller chunks than real deployments, against which control messages would otherwise take
+	// an unrealistic share of a link. Bytes of such writes are counted, see Control.
 	Small int
 
 	mu      sync.Mutex
@@ -97,18 +104,18 @@
 	cut     map[[2]string]bool
 	stalled map[[2]string]bool
 	wake    chan struct{}
-	open    map[*path]bool // Connections that may still carry something.
+	open    map[*path]bool // Connections that are open and not silent in both directions.
 	control int64
 }
 
-// path is what the two sides of one connection share.
+// path is the state that the two sides of a connection share.
 type path struct {
-	from, to string
-	lost     [2]atomic.Bool // What goes there, and what comes back, is lost.
-	ends     [2]net.Conn
+	dialer, listener string
+	lost             [2]atomic.Bool // By direction: whether what is written is lost.
+	ends             [2]net.Conn
 }
 
-// Add joins an end, or puts a new one in the place of an old one.
+// Add adds an end, or replaces the one with the same name.
 func (n *Network) Add(e *End) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -122,7 +129,7 @@
 	n.ends[e.Name] = e
 }
 
-// Remove takes an end out, as when its box dies: its connections close.
+// Remove removes an end, as when its process is killed: its connections close.
 func (n *Network) Remove(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -132,7 +139,7 @@
 	}
 }
 
-// Control returns the bytes of small writes so far.
+// Control returns the number of bytes of all writes smaller than Small.
 func (n *Network) Control() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -146,7 +153,8 @@
 	return [2]string{a, b}
 }
 
-// Cut refuses connections between two ends, and closes theirs, until healed.
+// Cut closes the connections between two ends and refuses new ones, or allows them again. An
+// open connection closes at its next write.
 func (n *Network) Cut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -155,7 +163,7 @@
 	n.wake = make(chan struct{})
 }
 
-// Stall lets nothing through between two ends and closes nothing.
+// Stall holds back what two ends write to each other, or lets it pass again. It closes nothing.
 func (n *Network) Stall(a, b string, stalled bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -164,96 +172,103 @@
 	n.wake = make(chan struct{})
 }
 
-// Silence has open connections carry nothing any more, in either direction and without a
-// reset: what is written on them is lost, and that one side closes does not show on the
-// other. New connections work. It concerns those from one end to another for which which
-// reports true; nil is all.
-func (n *Network) Silence(which func(from, to string) bool) { n.lose(which, there, back) }
+// Silence makes open connections lose, from now on, what is written on them in either direction.
+// There is no reset: neither side notices, not even that the other closes. New connections work.
+// It applies to the connections for whose dialer (from) and listener (to) selects reports true;
+// nil selects all.
+func (n *Network) Silence(selects func(from, to string) bool) {
+	n.silence(selects, toListener, toDialer)
+}
 
-// SilenceFromDialer is Silence for what those who opened a connection send on it;
-// what they are sent still comes.
-func (n *Network) SilenceFromDialer(which func(from, to string) bool) { n.lose(which, there) }
+// SilenceFromDialer is Silence for what the dialer of a connection sends; what the listener sends
+// still arrives.
+func (n *Network) SilenceFromDialer(selects func(from, to string) bool) {
+	n.silence(selects, toListener)
+}
 
-// SilenceToDialer is Silence for what those who opened a connection are sent on it.
-func (n *Network) SilenceToDialer(which func(from, to string) bool) { n.lose(which, back) }
+// SilenceToDialer is Silence for what the listener of a connection sends; what the dialer sends
+// still arrives.
+func (n *Network) SilenceToDialer(selects func(from, to string) bool) { n.silence(selects, toDialer) }
 
-// Reset closes open connections for both sides, and what is on its way is lost.
-func (n *Network) Reset(which func(from, to string) bool) {
-	for _, p := range n.found(which) {
-		n.over(p)
-		_, _ = p.ends[there].Close(), p.ends[back].Close()
+// Reset closes open connections on both sides and drops what is under way.
+func (n *Network) Reset(selects func(from, to string) bool) {
+	for _, p := range n.openPaths(selects) {
+		n.removePath(p)
+		_, _ = p.ends[toListener].Close(), p.ends[toDialer].Close()
 	}
 }
 
-// The directions of a connection.
+// Directions of a connection, which also index the sending sides in path.ends.
 const (
-	there = iota
-	back
+	toListener = iota
+	toDialer
 )
 
-func (n *Network) lose(which func(from, to string) bool, ways ...int) {
-	for _, p := range n.found(which) {
-		for _, w := range ways {
-			p.lost[w].Store(true)
+func (n *Network) silence(selects func(from, to string) bool, directions ...int) {
+	for _, p := range n.openPaths(selects) {
+		for _, d := range directions {
+			p.lost[d].Store(true)
 		}
-		if p.lost[there].Load() && p.lost[back].Load() {
-			n.over(p)
+		if p.lost[toListener].Load() && p.lost[toDialer].Load() {
+			n.removePath(p)
 		}
 	}
 }
 
-// found returns the open connections for which which reports true; nil is all.
-func (n *Network) found(which func(from, to string) bool) []*path {
+// openPaths returns the open connections for which selects reports true; nil selects all.
+func (n *Network) openPaths(selects func(from, to string) bool) []*path {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []*path
 	for p := range n.open {
-		if which == nil || which(p.from, p.to) {
+		if selects == nil || selects(p.dialer, p.listener) {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// begin notes a connection that is open from now on.
-func (n *Network) begin(from, to string, ends [2]net.Conn) *path {
-	p := &path{from: from, to: to, ends: ends}
+// addPath records a new open connection.
+func (n *Network) addPath(from, to string, ends [2]net.Conn) *path {
+	p := &path{dialer: from, listener: to, ends: ends}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.open[p] = true
 	return p
 }
 
-// over notes that a connection carries nothing any more.
-func (n *Network) over(p *path) {
+// removePath removes a connection that is closed or silent in both directions.
+func (n *Network) removePath(p *path) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.open, p)
 }
 
-func (n *Network) state(a, b string) (cut, stalled bool, wake chan struct{}) {
+// linkState returns whether two ends are cut off from each other or stalled, and a channel that is
+// closed at the next change of any pair.
+func (n *Network) linkState(a, b string) (cut, stalled bool, wake chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cut[pairOf(a, b)], n.stalled[pairOf(a, b)], n.wake
 }
 
-// Dial connects two ends by name.
+// Dial connects two ends by name, and serves the connection at the second.
 func (n *Network) Dial(_ context.Context, from, to string) (net.Conn, error) {
 	n.mu.Lock()
 	a, b := n.ends[from], n.ends[to]
 	n.mu.Unlock()
-	if cut, _, _ := n.state(from, to); a == nil || cut {
+	if cut, _, _ := n.linkState(from, to); a == nil || cut {
 		return nil, fault.New(fault.Unreachable, to)
 	}
 	if b == nil || b.Serve == nil {
 		return nil, fault.Wrap(fault.Unreachable, syscall.ECONNREFUSED, to)
 	}
-	near, far := net.Pipe()
-	p := n.begin(from, to, [2]net.Conn{near, far})
-	here := &conn{Conn: near, net: n, shared: p, from: a, to: b, ended: make(chan struct{}), refused: make(chan struct{})}
-	answering := &conn{Conn: far, net: n, shared: p, way: back, from: b, to: a, ended: make(chan struct{}), refused: make(chan struct{})}
-	context.AfterFunc(a.ctx, func() { here.dies(answering) })
-	context.AfterFunc(b.ctx, func() { answering.dies(here) })
-	go b.Serve(b.ctx, answering)
-	return here, nil
+	dialerPipe, listenerPipe := net.Pipe()
+	p := n.addPath(from, to, [2]net.Conn{dialerPipe, listenerPipe})
+	dialerConn := &conn{Conn: dialerPipe, net: n, path: p, from: a, to: b, closed: make(chan struct{}), refused: make(chan struct{})}
+	listenerConn := &conn{Conn: listenerPipe, net: n, path: p, direction: toDialer, from: b, to: a, closed: make(chan struct{}), refused: make(chan struct{})}
+	context.AfterFunc(a.ctx, func() { dialerConn.closeOnExit(listenerConn) })
+	context.AfterFunc(b.ctx, func() { listenerConn.closeOnExit(dialerConn) })
+	go b.Serve(b.ctx, listenerConn)
+	return dialerConn, nil
 }
