--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -206,7 +206,7 @@
 	}
 	f.mu.Unlock()
 	if !oldest.IsZero() {
-		f.Holder.Vouch(oldest.Add(f.FreshFor()))
+		f.Holder.ExtendFreshness(oldest.Add(f.FreshFor()))
 	}
 }
 
--- a/internal/feed/serve.go
+++ b/internal/feed/serve.go
@@ -87,7 +87,7 @@
 	if err := AcceptHead(ctx, h, head, get); err != nil {
 		return ignoreOlder(err)
 	}
-	h.Vouch(r.FreshUntil)
+	h.ExtendFreshness(r.FreshUntil)
 	return nil
 }
 
@@ -99,7 +99,7 @@
 	if r.Digest != "" && v.Revision() > 0 && r.Digest != v.Digest {
 		return fault.New(fault.DigestMismatch, "one revision with two contents")
 	}
-	h.Vouch(r.FreshUntil)
+	h.ExtendFreshness(r.FreshUntil)
 	return nil
 }
 
