--- a/internal/feed/cluster_test.go
+++ b/internal/feed/cluster_test.go
@@ -24,7 +24,7 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// cluster is many processes with the real feed over faked links.
+// cluster runs many processes with the real feed over a simulated network.
 type cluster struct {
 	t        *testing.T
 	net      *simnet.Network
@@ -37,6 +37,7 @@
 	events map[string]int
 }
 
+// proc is one process of a cluster.
 type proc struct {
 	fleet.Box
 	holder *view.Holder
@@ -56,23 +57,23 @@
 	return map[string][]byte{"all.yaml": []byte(text)}
 }
 
-func badDocs() map[string][]byte {
+func invalidDocs() map[string][]byte {
 	return map[string][]byte{"all.yaml": []byte("halls: {h0: {}}\nlimits: {queu: 3}\n")}
 }
 
-// settled runs a test on a cluster that has the first revision everywhere.
-func settled(t *testing.T, gateways, followers int, fn func(is *is.I, c *cluster)) {
+// runSettled runs a test on a cluster whose processes all hold the first revision.
+func runSettled(t *testing.T, gateways, followers int, fn func(is *is.I, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster(t, gateways, followers)
 		defer c.stop()
-		is.True(c.await(1, 10*time.Second, all) != nil)
+		is.True(c.await(1, 10*time.Second, everyProc) != nil)
 		fn(is, c)
 	})
 }
 
-// newCluster starts gateways and followers in three halls.
+// newCluster starts gateways and followers, distributed over three halls.
 func newCluster(t *testing.T, gateways, followers int) *cluster {
 	c := &cluster{
 		t: t, platform: &standin.Platform{}, boxes: map[string]fleet.Box{}, procs: map[string]*proc{},
@@ -113,7 +114,7 @@
 	p.feed = &feed.Feed{
 		Box: name, Hall: b.Hall, Addr: name, Gateway: b.Class == fleet.ClassGateway, Holder: p.holder,
 		Join:     []string{"gw-000", "gw-001", "gw-002"},
-		Platform: &feed.Platform{URL: "http://platform", Client: &http.Client{Transport: &direct{c: c, hall: b.Hall}}},
+		Platform: &feed.Platform{URL: "http://platform", Client: &http.Client{Transport: &platformTransport{c: c, hall: b.Hall}}},
 		Pool: &wire.Pool{
 			Local: hello, Codec: clusterCodec, Handlers: hs, Lifetime: ctx, Options: wire.Options{OnTraffic: count},
 			Dial: func(ctx context.Context, addr string) (net.Conn, error) { return c.net.Dial(ctx, name, addr) },
@@ -151,10 +152,11 @@
 		p.cancel()
 		c.net.Remove(name)
 	}
-	time.Sleep(2 * time.Minute) // For what still sleeps.
+	time.Sleep(2 * time.Minute) // Allows sleeping goroutines to end.
 }
 
-// cutHall cuts a hall from the platform, and with others set from other halls.
+// cutHall disconnects a hall from the platform, and also from the other halls if others
+// is set, or reconnects it if cut is false.
 func (c *cluster) cutHall(hall string, cut, others bool) {
 	c.mu.Lock()
 	c.cutOff[hall] = cut
@@ -171,12 +173,13 @@
 	}
 }
 
-// await returns how long it took until every process of keep has a revision,
-// as the times of each in order, or nil after limit.
+// await waits until every process that keep selects holds a revision, and returns the
+// time that each took in increasing order. It returns nil if that takes longer than
+// limit.
 func (c *cluster) await(revision uint64, limit time.Duration, keep func(*proc) bool) []time.Duration {
-	began := time.Now()
+	start := time.Now()
 	took := map[string]time.Duration{}
-	for time.Since(began) < limit {
+	for time.Since(start) < limit {
 		want := 0
 		for name, p := range c.procs {
 			if !keep(p) {
@@ -184,7 +187,7 @@
 			}
 			want++
 			if _, ok := took[name]; !ok && p.holder.Get().Revision() >= revision {
-				took[name] = time.Since(began)
+				took[name] = time.Since(start)
 			}
 		}
 		if len(took) == want {
@@ -200,24 +203,24 @@
 	return nil
 }
 
-func all(*proc) bool { return true }
+func everyProc(*proc) bool { return true }
 
-// direct answers requests to the platform without a network.
-type direct struct {
+// platformTransport is an http.RoundTripper that passes requests directly to the platform.
+type platformTransport struct {
 	c    *cluster
 	hall string
 }
 
-func (d *direct) RoundTrip(r *http.Request) (*http.Response, error) {
-	d.c.mu.Lock()
-	cut := d.c.cutOff[d.hall]
-	d.c.mu.Unlock()
+func (pt *platformTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	pt.c.mu.Lock()
+	cut := pt.c.cutOff[pt.hall]
+	pt.c.mu.Unlock()
 	if cut {
 		return nil, fault.New(fault.Unreachable, "platform")
 	}
 	time.Sleep(3 * time.Millisecond)
 	w := httptest.NewRecorder()
-	d.c.platform.ServeHTTP(w, r)
+	pt.c.platform.ServeHTTP(w, r)
 	if r.Context().Err() != nil {
 		return nil, r.Context().Err()
 	}
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -19,18 +19,18 @@
 
 // Defaults of a Feed.
 const (
-	watchersEachHall = 2
-	maxFreshFor      = 30 * time.Second // How long the platform's answer vouches, at most.
-	keyWindows       = 3                // A key's window is this many times longer, at least.
-	polls            = 3                // Idle polls while an answer vouches.
-	freshSteps       = 6                // Steps in which a vouching is passed on.
-	minBackoff       = 100 * time.Millisecond
-	maxBackoff       = 2 * time.Second
-	exchangeEvery    = time.Second // Least time between polls of other halls.
-	replySlack       = 3 * time.Second
+	watchersPerHall   = 2
+	maxFreshFor       = 30 * time.Second // Upper bound of FreshFor.
+	keyWindowRatio    = 3                // The key window is at least this many times FreshFor.
+	pollsPerFreshness = 3                // Idle polls within FreshFor.
+	freshnessSteps    = 6                // FreshFor divided by the smallest extension that is sent by itself.
+	minBackoff        = 100 * time.Millisecond
+	maxBackoff        = 2 * time.Second
+	exchangeInterval  = time.Second // Minimum time between polls of other halls.
+	replySlack        = 3 * time.Second
 )
 
-// Event is something worth a counter.
+// Event counts an event of a Feed.
 type Event func(name string, code fault.Code)
 
 // Feed keeps a view.Holder up to date. Set the exported fields before Run.
@@ -40,70 +40,70 @@
 	Gateway  bool // Only gateways watch the platform and other halls.
 	Platform *Platform
 	Pool     *wire.Pool
-	Addr     string   // This process's own address, which it does not ask.
-	Join     []string // Addresses of gateways to ask before a fleet list is known.
+	Addr     string   // This process's address, which it does not poll.
+	Join     []string // Addresses of gateways to poll until a fleet list is held.
 	Holder   *view.Holder
 	Event    Event
 
-	mu          sync.Mutex
-	bad         uint64    // The newest revision that was refused as invalid.
-	configAsked time.Time // When the platform last answered with our revision.
-	fleetAsked  time.Time // When it last answered with our fleet list.
-	learnt      chan struct{}
-	once        sync.Once
+	mu                sync.Mutex
+	refusedRev        uint64    // The newest revision refused as invalid.
+	configConfirmedAt time.Time // When the last request was sent that confirmed the held revision.
+	fleetConfirmedAt  time.Time // When the last request was sent that confirmed the held fleet list.
+	synced            chan struct{}
+	initOnce          sync.Once
 }
 
-// FreshFor is how long an answer of the platform vouches for a view. It is well
-// under the time for which keys are remembered, so that a process that holds an
-// old view stops acting as a key's home before the new home begins.
+// FreshFor returns how long a view counts as current after the platform has confirmed
+// it. It is at most a third of the key window, so that a process with an old view
+// stops acting as the home of a key before the new home starts.
 func (f *Feed) FreshFor() time.Duration {
 	cfg := f.Holder.Get().Config
 	if cfg == nil {
 		return maxFreshFor
 	}
-	return min(maxFreshFor, cfg.Limits.KeyWindow/keyWindows)
+	return min(maxFreshFor, cfg.Limits.KeyWindow/keyWindowRatio)
 }
 
-// pollWait is how long an idle poll waits.
-func (f *Feed) pollWait() time.Duration { return f.FreshFor() / polls }
+// pollWait returns how long an idle poll waits.
+func (f *Feed) pollWait() time.Duration { return f.FreshFor() / pollsPerFreshness }
 
 func (f *Feed) init() {
-	f.once.Do(func() {
-		f.learnt = make(chan struct{})
+	f.initOnce.Do(func() {
+		f.synced = make(chan struct{})
 		if f.Event == nil {
 			f.Event = func(string, fault.Code) {}
 		}
 	})
 }
 
-// Learnt is closed when the platform and the known peers were asked once, so
-// that what is held is the newest that could be reached.
-func (f *Feed) Learnt() <-chan struct{} {
+// Synced returns a channel that is closed when the platform and all known peers have been
+// queried once, so that the view is the newest that was reachable.
+func (f *Feed) Synced() <-chan struct{} {
 	f.init()
-	return f.learnt
+	return f.synced
 }
 
 // Run keeps the holder up to date until ctx ends.
 func (f *Feed) Run(ctx context.Context) error {
 	f.init()
-	f.learn(ctx)
-	close(f.learnt)
+	f.initialSync(ctx)
+	close(f.synced)
 	var wg sync.WaitGroup
-	duties := []func(context.Context){f.followHall}
+	tasks := []func(context.Context){f.followHall}
 	if f.Gateway {
-		duties = append(duties, f.watchConfig, f.watchFleet, f.exchange)
+		tasks = append(tasks, f.watchConfig, f.watchFleet, f.pollOtherHalls)
 	}
-	for _, d := range duties {
-		wg.Go(func() { d(ctx) })
+	for _, task := range tasks {
+		wg.Go(func() { task(ctx) })
 	}
 	wg.Wait()
 	return nil
 }
 
-// learn asks the platform and every known peer once, all at the same time.
-func (f *Feed) learn(ctx context.Context) {
-	const within = 2 * time.Second
-	ctx, cancel := context.WithTimeout(ctx, within)
+// initialSync queries the platform and every known peer once, concurrently.
+func (f *Feed) initialSync(ctx context.Context) {
+	const timeout = 2 * time.Second
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, addr := range f.Join {
@@ -116,7 +116,8 @@
 	wg.Wait()
 }
 
-// rank is this gateway's place among the gateways of its hall that may watch.
+// rank returns this gateway's position in the order in which the gateways of its hall
+// become watchers.
 func (f *Feed) rank() int {
 	names := fleet.Names(f.Holder.Get().Gateways(f.Hall))
 	return rendezvous.Position("watch/"+f.Hall, f.Box, names)
@@ -130,8 +131,8 @@
 	f.watch(ctx, "fleet", func(ctx context.Context) error { return f.readFleet(ctx, f.pollWait()) })
 }
 
-// watch reads again and again while this gateway is one that watches. Others
-// stand in, later the further back they rank, once the view is not vouched for.
+// watch calls read repeatedly while this gateway may watch. With an error, it backs
+// off.
 func (f *Feed) watch(ctx context.Context, what string, read func(context.Context) error) {
 	b := backoff{}
 	for ctx.Err() == nil {
@@ -139,8 +140,8 @@
 			kernel.Sleep(ctx, time.Second)
 			continue
 		}
-		wctx, cancel := context.WithTimeout(ctx, f.pollWait()+replySlack)
-		err := read(wctx)
+		readCtx, cancel := context.WithTimeout(ctx, f.pollWait()+replySlack)
+		err := read(readCtx)
 		cancel()
 		if err != nil {
 			f.Event("platform_"+what, fault.CodeOf(err))
@@ -151,20 +152,23 @@
 	}
 }
 
+// mayWatch reports whether this gateway may watch the platform: it is one of the first
+// in rank, or the view is about to expire, so that the watchers appear to have
+// failed. The further back its rank, the later it takes over.
 func (f *Feed) mayWatch(now time.Time) bool {
 	r := f.rank()
-	if r < watchersEachHall {
+	if r < watchersPerHall {
 		return true
 	}
-	// A live watcher's answers reach us with more than a quarter of that time to go.
-	late := f.Holder.Get().FreshUntil.Add(-f.FreshFor() / 4).Add(time.Duration(r) * time.Second)
-	return now.After(late)
+	// Updates from a live watcher arrive with more than a quarter of FreshFor remaining.
+	takeover := f.Holder.Get().FreshUntil.Add(-f.FreshFor() / 4).Add(time.Duration(r) * time.Second)
+	return now.After(takeover)
 }
 
 func (f *Feed) readConfig(ctx context.Context, wait time.Duration) error {
-	asked := time.Now()
+	sentAt := time.Now()
 	v := f.Holder.Get()
-	known := max(v.Revision(), f.refused())
+	known := max(v.Revision(), f.refusedRevision())
 	if wait == 0 {
 		known = 0
 	}
@@ -176,7 +180,7 @@
 		return fault.New(fault.OlderRevision, "platform")
 	}
 	if h.Revision == known {
-		f.vouch(&f.configAsked, asked)
+		f.confirm(&f.configConfirmedAt, sentAt)
 		return nil
 	}
 	head := v.Head.Clone()
@@ -185,24 +189,24 @@
 	}
 	err = AcceptHead(ctx, f.Holder, head, f.Platform.Doc)
 	if fault.Is(err, fault.BadConfig) {
-		f.refuse(h.Revision)
+		f.setRefusedRevision(h.Revision)
 		f.Event("refused_revision", fault.BadConfig)
 		err = nil
 	}
 	if err == nil {
-		f.vouch(&f.configAsked, asked)
+		f.confirm(&f.configConfirmedAt, sentAt)
 	}
 	return err
 }
 
-// vouch records when the platform was asked. Both of its answers are needed:
-// a view is as current as the older of them.
-func (f *Feed) vouch(which *time.Time, asked time.Time) {
+// confirm records when the request was sent that confirmed the held revision or fleet
+// list. Both must be confirmed: a view counts as current from the older of the two times.
+func (f *Feed) confirm(confirmedAt *time.Time, sentAt time.Time) {
 	f.mu.Lock()
-	*which = asked
-	oldest := f.configAsked
-	if f.fleetAsked.Before(oldest) {
-		oldest = f.fleetAsked
+	*confirmedAt = sentAt
+	oldest := f.configConfirmedAt
+	if f.fleetConfirmedAt.Before(oldest) {
+		oldest = f.fleetConfirmedAt
 	}
 	f.mu.Unlock()
 	if !oldest.IsZero() {
@@ -210,51 +214,51 @@
 	}
 }
 
-func (f *Feed) refuse(revision uint64) {
+func (f *Feed) setRefusedRevision(revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.bad = max(f.bad, revision)
+	f.refusedRev = max(f.refusedRev, revision)
 }
 
-func (f *Feed) refused() uint64 {
+func (f *Feed) refusedRevision() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.bad
+	return f.refusedRev
 }
 
 func (f *Feed) readFleet(ctx context.Context, wait time.Duration) error {
-	asked := time.Now()
+	sentAt := time.Now()
 	known := f.Holder.Get().Fleet.Version
 	l, err := f.Platform.Fleet(ctx, known, wait)
 	if err != nil {
 		return err
 	}
 	if l.Version < known {
-		return fault.New(fault.OlderRevision, "platform fleet")
+		return fault.New(fault.OlderRevision, "fleet list of the platform")
 	}
 	if l.Version > known {
-		if err := ignoreOlder(f.Holder.SetFleet(boxTable{Version: l.Version, Whole: true, Set: l.Boxes})); err != nil {
+		if err := ignoreOlder(f.Holder.SetFleet(fleetDelta{Version: l.Version, Whole: true, Set: l.Boxes})); err != nil {
 			return err
 		}
 	}
-	f.vouch(&f.fleetAsked, asked)
+	f.confirm(&f.fleetConfirmedAt, sentAt)
 	return nil
 }
 
-// followHall polls one gateway of this hall after another: the next when one
-// fails, in an order of this box's own so that the load is spread. A gateway
-// follows the ones that watch.
+// followHall polls a gateway of this hall, and moves on to the next one after a
+// failure. Each box has its own order, so that the load is distributed. Gateways
+// follow the watchers.
 func (f *Feed) followHall(ctx context.Context) {
 	b := backoff{}
-	for failed := 0; ctx.Err() == nil; {
-		addrs := f.sources()
+	for failures := 0; ctx.Err() == nil; {
+		addrs := f.sourceAddrs()
 		if len(addrs) == 0 {
 			kernel.Sleep(ctx, time.Second)
 			continue
 		}
-		if err := f.poll(ctx, addrs[failed%len(addrs)], f.pollWait()); err != nil {
+		if err := f.poll(ctx, addrs[failures%len(addrs)], f.pollWait()); err != nil {
 			f.Event("poll", fault.CodeOf(err))
-			failed++
+			failures++
 			kernel.Sleep(ctx, b.next())
 			continue
 		}
@@ -262,8 +266,8 @@
 	}
 }
 
-// sources returns the addresses to follow, best first.
-func (f *Feed) sources() []string {
+// sourceAddrs returns the addresses to poll in order of preference.
+func (f *Feed) sourceAddrs() []string {
 	boxes := f.Holder.Get().Gateways(f.Hall)
 	key := "follow/" + f.Box
 	if f.Gateway {
@@ -285,11 +289,11 @@
 	return out
 }
 
-// exchange is the duty of a watcher to ask other halls.
-func (f *Feed) exchange(ctx context.Context) {
+// pollOtherHalls polls gateways of other halls while this gateway may watch.
+func (f *Feed) pollOtherHalls(ctx context.Context) {
 	for ctx.Err() == nil {
-		kernel.Sleep(ctx, exchangeEvery)
-		addr := f.otherHall()
+		kernel.Sleep(ctx, exchangeInterval)
+		addr := f.randomRemoteGateway()
 		if addr == "" || !f.mayWatch(time.Now()) {
 			continue
 		}
@@ -299,7 +303,7 @@
 	}
 }
 
-func (f *Feed) otherHall() string {
+func (f *Feed) randomRemoteGateway() string {
 	var others []string
 	for _, g := range f.Holder.Get().Gateways("") {
 		if g.Hall != f.Hall {
@@ -312,7 +316,7 @@
 	return others[rand.IntN(len(others))]
 }
 
-// poll asks the process at addr for what is newer and takes it in.
+// poll requests updates from the process at addr and applies them.
 func (f *Feed) poll(ctx context.Context, addr string, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+replySlack)
 	defer cancel()
@@ -323,7 +327,7 @@
 	v := f.Holder.Get()
 	req := &SyncRequest{
 		Revision: v.Revision(), Digest: v.Digest, Fleet: v.Fleet.Version,
-		FreshUntil: v.FreshUntil, Until: time.Now().Add(wait),
+		FreshUntil: v.FreshUntil, AnswerBy: time.Now().Add(wait),
 	}
 	m, err := c.Call(ctx, req)
 	if err != nil {
@@ -333,19 +337,19 @@
 	if !ok {
 		return fault.New(fault.Garbage, "sync reply")
 	}
-	if r.Head.Version != 0 && r.Head.Version == f.refused() {
-		return fault.New(fault.BadConfig, "offered a refused revision")
+	if r.Head.Version != 0 && r.Head.Version == f.refusedRevision() {
+		return fault.New(fault.BadConfig, "reply contains a revision that was refused as invalid")
 	}
 	err = apply(ctx, f.Holder, r, func(ctx context.Context, digest string) ([]byte, error) {
-		return getDoc(ctx, c, digest)
+		return fetchDoc(ctx, c, digest)
 	})
 	if fault.Is(err, fault.BadConfig) {
-		f.refuse(r.Head.Version)
+		f.setRefusedRevision(r.Head.Version)
 	}
 	return err
 }
 
-func getDoc(ctx context.Context, c *wire.Conn, digest string) ([]byte, error) {
+func fetchDoc(ctx context.Context, c *wire.Conn, digest string) ([]byte, error) {
 	m, err := c.Call(ctx, &DocRequest{Digest: digest})
 	if err != nil {
 		return nil, err
@@ -357,7 +361,7 @@
 	return d.Data, nil
 }
 
-// backoff yields rising, jittered waits up to a cap.
+// backoff computes exponentially increasing waits with jitter, up to a maximum.
 type backoff struct{ step time.Duration }
 
 func (b *backoff) next() time.Duration {
--- a/internal/feed/message.go
+++ b/internal/feed/message.go
@@ -8,16 +8,17 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// SyncRequest asks for what is newer than the sender's view.
+// SyncRequest requests all changes since the sender's view.
 type SyncRequest struct {
 	Revision   uint64
 	Digest     string // Of the documents of Revision.
 	Fleet      uint64
 	FreshUntil time.Time
-	Until      time.Time // Answer by then, with nothing if nothing is newer.
+	AnswerBy   time.Time // When an empty reply is due if there are no changes.
 }
 
-// SyncReply says what differs. A part whose version is not newer is empty.
+// SyncReply contains the changes since the requester's view. Head and Fleet are empty if
+// their version is not newer.
 type SyncReply struct {
 	Head       config.Delta[string]
 	Digest     string // Of the documents of Head.Version.
@@ -25,12 +26,12 @@
 	FreshUntil time.Time
 }
 
-// DocRequest asks for a document by its digest.
+// DocRequest requests a document by its digest.
 type DocRequest struct {
 	Digest string
 }
 
-// Doc is one document.
+// Doc contains a document.
 type Doc struct {
 	Data []byte
 }
--- a/internal/feed/platform.go
+++ b/internal/feed/platform.go
@@ -14,37 +14,38 @@
 	"github.com/poststand/poststand/fleet"
 )
 
-// PlatformHead is the platform's answer to a watch of the configuration.
+// PlatformHead is the platform's answer to a request for the configuration.
 type PlatformHead struct {
 	Revision uint64            `json:"revision"`
 	Docs     map[string]string `json:"docs"` // Digests by document name.
 }
 
-// PlatformFleet is the platform's answer to a watch of the fleet list.
+// PlatformFleet is the platform's answer to a request for the fleet list.
 type PlatformFleet struct {
 	Version uint64               `json:"version"`
 	Boxes   map[string]fleet.Box `json:"boxes"`
 }
 
-// Platform reads and watches the platform's service. It never writes.
+// Platform is a read-only client of the platform's service.
 type Platform struct {
 	URL    string // Such as "http://127.0.0.1:7000".
 	Client *http.Client
 }
 
-// Head waits until wait for a revision other than known.
+// Head returns the head of the configuration. It waits up to wait for a revision other
+// than known.
 func (p *Platform) Head(ctx context.Context, known uint64, wait time.Duration) (*PlatformHead, error) {
 	var h PlatformHead
 	return &h, p.get(ctx, fmt.Sprintf("/v1/config?known=%d&wait=%s", known, wait), &h)
 }
 
-// Fleet waits until wait for a fleet list other than known.
+// Fleet returns the fleet list. It waits up to wait for a version other than known.
 func (p *Platform) Fleet(ctx context.Context, known uint64, wait time.Duration) (*PlatformFleet, error) {
 	var f PlatformFleet
 	return &f, p.get(ctx, fmt.Sprintf("/v1/fleet?known=%d&wait=%s", known, wait), &f)
 }
 
-// Doc returns the document with a digest.
+// Doc returns the document with the digest.
 func (p *Platform) Doc(ctx context.Context, digest string) ([]byte, error) {
 	data, err := p.fetch(ctx, "/v1/docs/"+digest, config.MaxDocument)
 	if err != nil {
@@ -87,14 +88,14 @@
 		if resp.StatusCode == http.StatusTooManyRequests {
 			code = fault.Throttled
 		}
-		return nil, fault.New(code, "platform: "+strconv.Itoa(resp.StatusCode))
+		return nil, fault.New(code, "platform answered "+strconv.Itoa(resp.StatusCode))
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return nil, fault.Wrap(fault.Closed, err, "platform")
 	}
 	if int64(len(data)) > limit {
-		return nil, fault.New(fault.TooLarge, "platform answer")
+		return nil, fault.New(fault.TooLarge, "platform answer exceeds the size limit")
 	}
 	return data, nil
 }
--- a/internal/feed/serve.go
+++ b/internal/feed/serve.go
@@ -11,11 +11,11 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Serve registers the handlers that answer peers from h. freshFor is how long
-// an answer of the platform vouches for a view.
+// Serve registers the handlers that answer requests of peers from h. freshFor returns
+// how long a view counts as current after the platform has confirmed it.
 func Serve(hs *wire.Handlers, h *view.Holder, freshFor func() time.Duration) {
 	wire.On(hs, func(ctx context.Context, s *wire.Stream, m *SyncRequest) {
-		_ = s.SendLast(ctx, reply(ctx, h, m, freshFor()/freshSteps))
+		_ = s.SendLast(ctx, awaitReply(ctx, h, m, freshFor()/freshnessSteps))
 	})
 	wire.On(hs, func(ctx context.Context, s *wire.Stream, m *DocRequest) {
 		data, ok := h.Get().Docs[m.Digest]
@@ -27,33 +27,35 @@
 	})
 }
 
-// reply waits until h holds something newer than m, or the request's deadline.
-func reply(ctx context.Context, h *view.Holder, m *SyncRequest, freshStep time.Duration) *SyncReply {
-	timer := time.NewTimer(time.Until(m.Until))
+// awaitReply waits until h has changes for the sender of m, or m.AnswerBy, and returns
+// the reply.
+func awaitReply(ctx context.Context, h *view.Holder, m *SyncRequest, freshStep time.Duration) *SyncReply {
+	timer := time.NewTimer(time.Until(m.AnswerBy))
 	defer timer.Stop()
 	for {
 		v, changed := h.Watch()
-		if newer(v, m, freshStep) {
-			return delta(v, m)
+		if hasChanges(v, m, freshStep) {
+			return deltaFor(v, m)
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return delta(h.Get(), m)
+			return deltaFor(h.Get(), m)
 		case <-ctx.Done():
 			return &SyncReply{}
 		}
 	}
 }
 
-// newer reports whether m's sender lacks something. A later vouching alone
-// counts only from a step on, which bounds the messages that carry nothing else.
-func newer(v *view.View, m *SyncRequest, freshStep time.Duration) bool {
+// hasChanges reports whether v has changes for the sender of m. A later FreshUntil alone
+// counts only if it is more than freshStep later, which bounds the number of messages
+// that contain nothing else.
+func hasChanges(v *view.View, m *SyncRequest, freshStep time.Duration) bool {
 	return v.Revision() > m.Revision || v.Fleet.Version > m.Fleet ||
 		v.FreshUntil.After(m.FreshUntil.Add(freshStep))
 }
 
-func delta(v *view.View, m *SyncRequest) *SyncReply {
+func deltaFor(v *view.View, m *SyncRequest) *SyncReply {
 	r := &SyncReply{FreshUntil: v.FreshUntil}
 	if v.Revision() >= m.Revision {
 		r.Digest = v.Digest
@@ -67,7 +69,7 @@
 	return r
 }
 
-// apply takes a reply into h, fetching the documents that are missing.
+// apply applies a reply to h, and fetches missing documents.
 func apply(ctx context.Context, h *view.Holder, r *SyncReply, get func(ctx context.Context, digest string) ([]byte, error)) error {
 	if r.Fleet.Version > 0 {
 		if err := ignoreOlder(h.SetFleet(r.Fleet)); err != nil {
@@ -75,7 +77,7 @@
 		}
 	}
 	if r.Head.Version == 0 {
-		return agree(h, r)
+		return applyUnchanged(h, r)
 	}
 	head := h.Get().Head.Clone()
 	if err := head.Apply(r.Head); err != nil {
@@ -91,13 +93,13 @@
 	return nil
 }
 
-// agree takes a reply that brings no newer revision. Two processes that hold
-// different documents under one number cannot both be right, and nothing here
-// can tell which is, so it is an error for people to see.
-func agree(h *view.Holder, r *SyncReply) error {
+// applyUnchanged applies a reply without a newer revision. If two processes hold
+// different documents for the same revision, one of them must be wrong. Which one
+// cannot be determined here, so it is an error that an operator must resolve.
+func applyUnchanged(h *view.Holder, r *SyncReply) error {
 	v := h.Get()
 	if r.Digest != "" && v.Revision() > 0 && r.Digest != v.Digest {
-		return fault.New(fault.DigestMismatch, "one revision with two contents")
+		return fault.New(fault.DigestMismatch, "peer holds other documents for the same revision")
 	}
 	h.ExtendFreshness(r.FreshUntil)
 	return nil
@@ -110,12 +112,12 @@
 	return err
 }
 
-// AcceptHead fetches the documents of head that h lacks and puts it in force.
+// AcceptHead fetches the documents of head that h does not hold, and puts head in force.
 func AcceptHead(ctx context.Context, h *view.Holder, head *config.Head, get func(ctx context.Context, digest string) ([]byte, error)) error {
-	held := h.Get().Docs
+	current := h.Get().Docs
 	docs := map[string][]byte{}
 	for _, digest := range head.Values() {
-		if data, ok := held[digest]; ok {
+		if data, ok := current[digest]; ok {
 			docs[digest] = data
 			continue
 		}
@@ -128,5 +130,5 @@
 	return h.Accept(head, docs)
 }
 
-// boxTable is the fleet list as it travels.
-type boxTable = config.Delta[fleet.Box]
+// fleetDelta is a change of the fleet list as it is sent between processes.
+type fleetDelta = config.Delta[fleet.Box]
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -187,7 +187,7 @@
 		return fault.New(fault.Draining, "")
 	}
 	select {
-	case <-g.feed.Learnt():
+	case <-g.feed.Synced():
 	default:
 		return fault.New(fault.NotReady, "still learning the configuration")
 	}
