--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -14,50 +14,50 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// alive tells the router that the upstream gives signs of life.
-func (a *attempt) alive() {
+// recordActivity records in the router that the upstream is responding.
+func (a *attempt) recordActivity() {
 	if a.box != "" {
 		a.gateway.router.RecordActivity(time.Now(), a.box)
 	}
 }
 
-// sink takes an answer as it comes.
+// sink receives an answer as it arrives.
 type sink struct {
-	head  func(h *dispatch.AnswerHead) error // Called again when another attempt begins.
-	data  func(b []byte) error
-	shown func() bool // Whether parts have gone to the caller.
+	head    func(h *dispatch.AnswerHead) error // Called again for each attempt that is answered.
+	data    func(b []byte) error
+	started func() bool // Reports whether parts have been sent to the caller.
 }
 
-// attempt is one dispatch to one box and what was seen of its answer.
+// attempt is one dispatch to one box and the state of its answer.
 type attempt struct {
-	gateway *Gateway
-	d       *dispatch.Dispatch
-	addr    string
-	box     string // Its name, where the router has it.
-	forward bool   // To a gateway of another hall.
-	sink    *sink
-	next    int // The next AnswerData wanted.
-	sum     hash.Hash
-	begun   bool      // Parts have come.
-	firstAt time.Time // When the first part came.
+	gateway      *Gateway
+	d            *dispatch.Dispatch
+	addr         string
+	box          string // The name of the upstream; empty if the router did not choose it.
+	forward      bool   // The dispatch goes to a gateway of another hall.
+	sink         *sink
+	next         int // Seq of the next AnswerData expected.
+	sum          hash.Hash
+	receivedData bool      // At least one part was received.
+	firstDataAt  time.Time // When the first part was received.
 }
 
 const (
-	voidWithin  = 150 * time.Millisecond // Left before the deadline to ask what became of a request.
-	maxRecovers = 3                      // Lost connections that one attempt survives.
-	askWithin   = time.Second            // For the question after a lost connection.
+	voidReserve   = 150 * time.Millisecond // Reserved before the deadline for voiding a request.
+	maxRecoveries = 3                      // Lost connections after which an attempt continues.
+	voidTimeout   = time.Second            // For voiding a request after a lost connection.
 )
 
-// run dispatches and follows the answer to its end.
+// run dispatches the request and follows its answer to the end.
 func (a *attempt) run(ctx context.Context) dispatch.Result {
-	giveUp, cancel := context.WithDeadline(ctx, a.d.Deadline.Add(-voidWithin))
+	attemptCtx, cancel := context.WithDeadline(ctx, a.d.Deadline.Add(-voidReserve))
 	defer cancel()
-	s, err := a.send(giveUp)
+	s, err := a.send(attemptCtx)
 	if err != nil {
-		return a.notSent(giveUp, err)
+		return a.notSent(attemptCtx, err)
 	}
-	for recovered := 0; ; recovered++ {
-		r, err := a.follow(giveUp, s)
+	for recoveries := 0; ; recoveries++ {
+		r, err := a.follow(attemptCtx, s)
 		s.Close()
 		if err == nil {
 			return r
@@ -65,22 +65,22 @@
 		if ctx.Err() != nil {
 			return a.result(dispatch.Unknown, fault.Cancelled)
 		}
-		if fault.Is(err, errSink) {
-			return a.result(dispatch.Unknown, errSink)
+		if fault.Is(err, codeCallerGone) {
+			return a.result(dispatch.Unknown, codeCallerGone)
 		}
 		a.gateway.Metrics.Failed("dispatch_lost", err)
-		if recovered >= maxRecovers {
+		if recoveries >= maxRecoveries {
 			return a.result(dispatch.Unknown, fault.CodeOf(err))
 		}
-		if s, r = a.recover(ctx, giveUp, err); s == nil {
+		if s, r = a.voidOrAttach(ctx, attemptCtx, err); s == nil {
 			return r
 		}
 	}
 }
 
-// send sends the dispatch. On an error no byte of it has left this process. A
-// dispatch to an agent names the incarnation that the connection reached, so no
-// other one can run it.
+// send sends the dispatch. If it returns an error, no byte of the dispatch has
+// left this process. A dispatch to an agent carries the incarnation that the
+// connection reached, so that no other incarnation can run it.
 func (a *attempt) send(ctx context.Context) (*wire.Stream, error) {
 	a.sum = sha256.New()
 	c, err := a.gateway.pool.Get(ctx, a.addr)
@@ -93,23 +93,23 @@
 	return c.Open(ctx, a.d)
 }
 
-// notSent is the result when no byte of the dispatch left this process.
+// notSent returns the result for an attempt of which no byte left this process.
 func (a *attempt) notSent(ctx context.Context, err error) dispatch.Result {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		err = fault.New(fault.PastDeadline, "before it was sent")
+		err = fault.New(fault.PastDeadline, "deadline passed before the request was sent")
 	}
 	return a.result(dispatch.NotRun, fault.CodeOf(err))
 }
 
-func (a *attempt) result(o dispatch.Outcome, why fault.Code) dispatch.Result {
-	return dispatch.Result{Outcome: o, Reason: why, AnswerStarted: a.sink.shown()}
+func (a *attempt) result(o dispatch.Outcome, reason fault.Code) dispatch.Result {
+	return dispatch.Result{Outcome: o, Reason: reason, AnswerStarted: a.sink.started()}
 }
 
-// errSink is the type of a failure to pass the answer to the caller.
-const errSink fault.Code = "caller_gone"
+// codeCallerGone is the code of errors in sending the answer to the caller.
+const codeCallerGone fault.Code = "caller_gone"
 
-// follow reads messages until the attempt's outcome is known, or returns the
-// error that left it open.
+// follow reads messages until the outcome of the attempt is known. It returns an
+// error if the stream ended before that.
 func (a *attempt) follow(ctx context.Context, s *wire.Stream) (dispatch.Result, error) {
 	for {
 		m, err := s.Recv(ctx)
@@ -122,7 +122,7 @@
 		switch m := m.(type) {
 		case *dispatch.Refusal:
 			r := a.result(dispatch.NotRun, m.Reason)
-			if m.MayHaveRun || a.begun {
+			if m.MayHaveRun || a.receivedData {
 				r.Outcome = dispatch.Unknown
 			}
 			r.RetryAt = m.RetryAt
@@ -137,7 +137,7 @@
 			}
 		case *dispatch.AnswerEnd:
 			if m.ID != a.d.ID || m.Seq != a.next || m.Sum != hex.EncodeToString(a.sum.Sum(nil)) {
-				return dispatch.Result{}, fault.New(fault.Truncated, "end mark does not match")
+				return dispatch.Result{}, fault.New(fault.Truncated, "end of answer does not match the parts received")
 			}
 			return a.result(dispatch.Done, ""), nil
 		default:
@@ -154,57 +154,58 @@
 	if m.Digest != a.d.Digest {
 		return fault.New(fault.MixedVersion, m.Digest)
 	}
-	if a.begun {
-		return nil // Said again after an attach.
+	if a.receivedData {
+		return nil // The head is sent again after an Attach.
 	}
 	if err := a.sink.head(m); err != nil {
-		return fault.Wrap(errSink, err, "")
+		return fault.Wrap(codeCallerGone, err, "")
 	}
 	return nil
 }
 
-// takeData passes on the part that is due. An earlier one is a repeat and is
-// dropped; a later one means that some were lost.
+// takeData passes the next part to the sink. It drops an earlier part as a
+// duplicate, and returns an error for a later one, since parts were lost.
 func (a *attempt) takeData(m *dispatch.AnswerData) error {
 	if m.ID != a.d.ID || m.Seq < a.next {
 		a.gateway.Metrics.Event("frame_dropped", "")
 		return nil
 	}
 	if m.Seq > a.next {
-		return fault.New(fault.Truncated, "parts are missing")
+		return fault.New(fault.Truncated, "parts of the answer are missing")
 	}
 	if a.next == 0 {
-		a.firstAt = time.Now()
+		a.firstDataAt = time.Now()
 	}
-	a.alive()
+	a.recordActivity()
 	a.next++
 	a.sum.Write(m.Data)
-	a.begun = true
+	a.receivedData = true
 	if err := a.sink.data(m.Data); err != nil {
-		return fault.Wrap(errSink, err, "")
+		return fault.Wrap(codeCallerGone, err, "")
 	}
 	return nil
 }
 
-// recover asks, on a connection of its own, what became of the request: fenced,
-// and so not run; or under way, and then it attaches to the rest. Any other
-// reply, or none, leaves the outcome unknown.
-func (a *attempt) recover(ctx, giveUp context.Context, why error) (*wire.Stream, dispatch.Result) {
-	unknown := a.result(dispatch.Unknown, fault.CodeOf(why))
-	until := time.Now().Add(askWithin)
-	if a.d.Deadline.Before(until) {
-		until = a.d.Deadline // The caller is answered by then, whatever is known.
-	}
-	ask, cancel := context.WithDeadline(ctx, until)
+// voidOrAttach voids the request on a new connection. If the agent fences it, the
+// request has not run; if it is running or finished, voidOrAttach attaches to the
+// rest of the answer and returns that stream. With any other reply, or none, the
+// outcome is unknown.
+func (a *attempt) voidOrAttach(ctx, attemptCtx context.Context, cause error) (*wire.Stream, dispatch.Result) {
+	unknown := a.result(dispatch.Unknown, fault.CodeOf(cause))
+	deadline := time.Now().Add(voidTimeout)
+	if a.d.Deadline.Before(deadline) {
+		deadline = a.d.Deadline // The caller must be answered by its deadline.
+	}
+	voidCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	c, err := a.gateway.pool.DialNew(ask, a.addr)
+	c, err := a.gateway.pool.DialNew(voidCtx, a.addr)
 	if fault.Is(err, fault.Unreachable) {
-		return nil, a.result(dispatch.Unknown, fault.Unreachable) // It says more than how the connection ended.
+		return nil, a.result(dispatch.Unknown, fault.Unreachable) // More specific than the error that ended the connection.
 	}
 	if err != nil {
 		return nil, unknown
 	}
-	m, err := c.Call(ask, &dispatch.Void{ID: a.d.ID, Incarnation: a.d.Incarnation, Deadline: a.d.Deadline})
+	m, err := c.Call(voidCtx, &dispatch.Void{ID: a.d.ID, Incarnation: a.d.Incarnation, Deadline: a.d.Deadline})
 	reply, ok := m.(*dispatch.VoidReply)
 	if err != nil || !ok || reply.ID != a.d.ID {
 		c.Close()
@@ -214,11 +215,11 @@
 	switch reply.State {
 	case dispatch.VoidFenced:
 		c.Close()
-		return nil, a.result(dispatch.NotRun, fault.CodeOf(why))
+		return nil, a.result(dispatch.NotRun, fault.CodeOf(cause))
 	case dispatch.VoidRunning, dispatch.VoidFinished:
-		s, err := c.Open(giveUp, &dispatch.Attach{ID: a.d.ID, Incarnation: a.d.Incarnation, From: a.next})
+		s, err := c.Open(attemptCtx, &dispatch.Attach{ID: a.d.ID, Incarnation: a.d.Incarnation, From: a.next})
 		if err == nil {
-			context.AfterFunc(giveUp, c.Close)
+			context.AfterFunc(attemptCtx, c.Close)
 			return s, dispatch.Result{}
 		}
 	}
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -17,32 +17,32 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// Headers that callers may set and read.
+// Headers of requests from callers and of the answers to them.
 const (
 	HeaderOrganisation = "Poststand-Organisation"
-	HeaderPriority     = "Poststand-Priority" // 0 to 9; 5 without it.
-	HeaderTimeout      = "Poststand-Timeout"  // Such as 5s.
+	HeaderPriority     = "Poststand-Priority" // 0 to 9; 5 by default.
+	HeaderTimeout      = "Poststand-Timeout"  // A duration such as 5s.
 	HeaderKey          = "Idempotency-Key"
 	HeaderUnsafe       = "Poststand-Unsafe"  // "true" or "false".
-	HeaderOutcome      = "Poststand-Outcome" // Of the answer: ran, not_run or unknown.
-	HeaderVersion      = "Poststand-Version" // Digest of the version that answered.
+	HeaderOutcome      = "Poststand-Outcome" // Set on answers: ran, not_run or unknown.
+	HeaderVersion      = "Poststand-Version" // Set on answers: digest of the version that answered.
 	HeaderRevision     = "Poststand-Revision"
 )
 
 const (
 	defaultPriority = 5
 	maxPriority     = 9
-	maxKey          = 256
+	maxKeyBytes     = 256
 	chatPath        = "/v1/chat/completions"
 )
 
-// Callers returns the interface for callers.
+// Callers returns the HTTP handler for callers.
 func (g *Gateway) Callers() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+chatPath, g.serveChat)
 	mux.HandleFunc("/services/{service}/{path...}", g.servePlain)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		g.fail(w, refused(fault.New(fault.NoService, r.URL.Path), time.Time{}))
+		g.writeError(w, refusal(fault.New(fault.NoService, r.URL.Path), time.Time{}))
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if g.draining.Load() {
@@ -52,9 +52,9 @@
 	})
 }
 
-// chat is what a gateway reads of a chat completion request.
+// chat is the part of a chat completion request that a gateway reads.
 type chat struct {
-	Model    string `json:"model"` // A service, or "service:adapter".
+	Model    string `json:"model"` // "service" or "service:adapter".
 	Stream   bool   `json:"stream"`
 	Messages []struct {
 		Content string `json:"content"`
@@ -62,7 +62,7 @@
 }
 
 func (g *Gateway) serveChat(w http.ResponseWriter, r *http.Request) {
-	d, err := g.read(w, r)
+	d, err := g.readRequest(w, r)
 	var c chat
 	if err == nil {
 		if jerr := json.Unmarshal(d.Body, &c); jerr != nil {
@@ -70,18 +70,18 @@
 		}
 	}
 	if err != nil {
-		g.fail(w, refused(err, time.Time{}))
+		g.writeError(w, refusal(err, time.Time{}))
 		return
 	}
 	d.Service, d.Adapter, _ = strings.Cut(c.Model, ":")
 	d.Path, d.Stream = chatPath, c.Stream
-	g.answer(w, r, d, config.KindModel)
+	g.serveRequest(w, r, d, config.KindModel)
 }
 
 func (g *Gateway) servePlain(w http.ResponseWriter, r *http.Request) {
-	d, err := g.read(w, r)
+	d, err := g.readRequest(w, r)
 	if err != nil {
-		g.fail(w, refused(err, time.Time{}))
+		g.writeError(w, refusal(err, time.Time{}))
 		return
 	}
 	d.Service = r.PathValue("service")
@@ -92,10 +92,10 @@
 	if r.Header.Get(HeaderUnsafe) == "" {
 		d.Unsafe = !safeMethod(r.Method)
 	}
-	g.answer(w, r, d, config.KindPlain)
+	g.serveRequest(w, r, d, config.KindPlain)
 }
 
-// safeMethod reports whether HTTP itself says that a method may be repeated.
+// safeMethod reports whether HTTP defines a method as idempotent.
 func safeMethod(m string) bool {
 	switch m {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
@@ -104,8 +104,8 @@
 	return false
 }
 
-// read takes what all requests have in common.
-func (g *Gateway) read(w http.ResponseWriter, r *http.Request) (*dispatch.Dispatch, error) {
+// readRequest reads the parts that all requests have in common.
+func (g *Gateway) readRequest(w http.ResponseWriter, r *http.Request) (*dispatch.Dispatch, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(g.Settings.MaxBody)))
 	if err != nil {
 		var tooLarge *http.MaxBytesError
@@ -139,7 +139,7 @@
 	if key == "" {
 		return nil
 	}
-	if len(key) > maxKey {
+	if len(key) > maxKeyBytes {
 		return fault.New(fault.BadRequest, HeaderKey+": over 256 bytes")
 	}
 	d.Key = d.Organisation + "\x00" + key
@@ -150,22 +150,22 @@
 func (g *Gateway) readDeadline(r *http.Request, d *dispatch.Dispatch) error {
 	cfg := g.holder.Get().Config
 	if cfg == nil {
-		return fault.New(fault.NotReady, "no configuration")
+		return fault.New(fault.NotReady, "no configuration received")
 	}
-	wait := cfg.Limits.Deadline
+	timeout := cfg.Limits.Deadline
 	if v := r.Header.Get(HeaderTimeout); v != "" {
 		t, err := time.ParseDuration(v)
 		if err != nil || t <= 0 {
 			return fault.New(fault.BadRequest, HeaderTimeout+": want a duration such as 5s")
 		}
-		wait = t
+		timeout = t
 	}
-	d.Deadline = time.Now().Add(wait).Round(0)
+	d.Deadline = time.Now().Add(timeout).Round(0)
 	return nil
 }
 
-// answer runs a request and gives its caller the one final answer.
-func (g *Gateway) answer(w http.ResponseWriter, r *http.Request, d *dispatch.Dispatch, kind string) {
+// serveRequest processes a request and sends the final answer to its caller.
+func (g *Gateway) serveRequest(w http.ResponseWriter, r *http.Request, d *dispatch.Dispatch, kind string) {
 	rq, err := g.newRequest(*d)
 	if err == nil && rq.service.Kind != kind {
 		err = fault.New(fault.NoService, d.Service+" is not a "+kind+" service")
@@ -177,10 +177,10 @@
 		err = checkOrganisation(rq)
 	}
 	if err != nil {
-		g.fail(w, refused(err, time.Time{}))
+		g.writeError(w, refusal(err, time.Time{}))
 		return
 	}
-	// A caller that goes away ends the request only if it is safe to do so.
+	// A caller that disconnects cancels its request, unless the request is unsafe.
 	ctx := r.Context()
 	if rq.d.Unsafe {
 		ctx = context.WithoutCancel(ctx)
@@ -193,29 +193,31 @@
 	out.finish(res)
 }
 
-// checkOrganisation refuses organisations that are not declared, if any are.
+// checkOrganisation returns an error for an undeclared organisation, unless the
+// configuration declares none at all.
 func checkOrganisation(rq *request) error {
 	orgs := rq.view.Config.Organisations
 	if _, ok := orgs[rq.d.Organisation]; !ok && len(orgs) > 0 {
-		return fault.New(fault.BadRequest, HeaderOrganisation+": not declared")
+		return fault.New(fault.BadRequest, HeaderOrganisation+": organisation not declared")
 	}
 	return nil
 }
 
-// prefixOf is the part of a prompt that an engine's prefix cache would share:
-// the first message when there are several, else the first bytes.
-func prefixOf(d *dispatch.Dispatch) string {
-	const shared = 256
+// promptPrefix returns the part of a prompt that requests are likely to share in an
+// engine's prefix cache: the first message if there are several, or else the first
+// 256 bytes. It returns an empty string if there is no such part.
+func promptPrefix(d *dispatch.Dispatch) string {
+	const prefixBytes = 256
 	var c chat
 	if d.Path != chatPath || json.Unmarshal(d.Body, &c) != nil || len(c.Messages) == 0 {
 		return ""
 	}
 	first := c.Messages[0].Content
 	if len(c.Messages) == 1 {
-		if len(first) < shared {
+		if len(first) < prefixBytes {
 			return ""
 		}
-		first = first[:shared]
+		first = first[:prefixBytes]
 	}
 	return d.Organisation + "/" + first
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,10 +21,10 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Codec knows every message that a gateway sends or takes.
+// Codec encodes and decodes every message that a gateway sends or receives.
 var Codec = wire.NewCodec(dispatch.Messages, feed.Messages)
 
-// Gateway is one gateway. Use New.
+// Gateway is a gateway process. Use New to create one.
 type Gateway struct {
 	Settings *settings.Gateway
 	Metrics  *telemetry.Metrics
@@ -37,32 +37,33 @@
 	router      route.Router
 	rollout     route.Rollout
 	budget      limit.RetryBudget
-	life        context.Context
-	end         context.CancelFunc
+	lifetime    context.Context
+	cancel      context.CancelFunc
 	draining    atomic.Bool
 
 	mu     sync.Mutex
-	queues map[string]*limit.Queue // By service; bounded by the configuration.
-	rates  map[string]*limit.Rate  // By organisation; bounded by the configuration.
+	queues map[string]*limit.Queue // By service; the configuration bounds their number.
+	rates  map[string]*limit.Rate  // By organisation; the configuration bounds their number.
 }
 
-// pingEvery is the time between pings on an idle connection: short, so that a
-// frozen peer is noticed well before callers would give up, but longer in a
-// large hall, so that the pings to all of its boxes stay within the budget.
-func (g *Gateway) pingEvery(wire.Hello) time.Duration {
-	const least, most, perBox = time.Second, 10 * time.Second, 20 * time.Millisecond
-	return min(most, max(least, time.Duration(g.router.Size())*perBox))
+// pingInterval returns the time between pings on an idle connection. It is short,
+// so that a frozen peer is detected well before callers time out, and grows with
+// the number of boxes in the hall, so that the pings to all of them stay within
+// the budget for control traffic.
+func (g *Gateway) pingInterval(wire.Hello) time.Duration {
+	const minInterval, maxInterval, perBox = time.Second, 10 * time.Second, 20 * time.Millisecond
+	return min(maxInterval, max(minInterval, time.Duration(g.router.Size())*perBox))
 }
 
-// Options are the seams at which tests put fakes. The zero value is the real
-// thing.
+// Options replaces dependencies of a gateway in tests. The zero value selects the
+// real ones.
 type Options struct {
 	Dial     func(ctx context.Context, addr string) (net.Conn, error)
 	Platform *http.Client
 	Choose   func(r *route.Router, now time.Time, cs []*route.Upstream, q route.Query) *route.Upstream
 }
 
-// New returns a gateway with its parts joined.
+// New returns a gateway with the given settings. Run starts it.
 func New(s *settings.Gateway, o Options) (*Gateway, error) {
 	m, err := telemetry.New()
 	if err != nil {
@@ -72,8 +73,8 @@
 		Settings: s, Metrics: m, incarnation: rand.Uint64() | 1, holder: &view.Holder{},
 		queues: map[string]*limit.Queue{}, rates: map[string]*limit.Rate{},
 	}
-	g.life, g.end = context.WithCancel(context.Background())
-	g.pool = &wire.Pool{Local: g.hello(), Codec: Codec, Options: g.options(), Lifetime: g.life}
+	g.lifetime, g.cancel = context.WithCancel(context.Background())
+	g.pool = &wire.Pool{Local: g.hello(), Codec: Codec, Options: g.options(), Lifetime: g.lifetime}
 	g.pool.Dial = o.Dial
 	g.router.Choose = o.Choose
 	g.feed = &feed.Feed{
@@ -94,7 +95,7 @@
 
 func (g *Gateway) options() wire.Options {
 	return wire.Options{
-		PingIntervalFor: g.pingEvery,
+		PingIntervalFor: g.pingInterval,
 		OnFault:         func(c fault.Code) { g.Metrics.Event("connection", string(c)) },
 		OnTraffic: func(sent, received int) {
 			g.Metrics.Bytes("sent", sent)
@@ -103,7 +104,7 @@
 	}
 }
 
-// Handlers returns what the gateway answers to other processes.
+// Handlers returns the handlers for messages from other processes.
 func (g *Gateway) Handlers() *wire.Handlers {
 	hs := &wire.Handlers{}
 	feed.Serve(hs, g.holder, g.feed.FreshFor)
@@ -111,20 +112,20 @@
 	return hs
 }
 
-// Server returns what accepts other processes' connections.
+// Server returns the server for connections from other processes.
 func (g *Gateway) Server() *wire.Server {
 	return &wire.Server{
 		Local: g.hello(), Codec: Codec, Handlers: g.pool.Handlers, MaxConns: g.Settings.MaxConns, Options: g.options(),
 	}
 }
 
-// Duties adds to k what a gateway does without being asked.
+// Duties adds the background tasks of the gateway to k.
 func (g *Gateway) Duties(k *kernel.Kernel) {
 	k.Add("feed", g.feed, g.feed.Run)
 	k.Add("subscriptions", &g.router, g.subscribe)
 }
 
-// Run runs the gateway until ctx ends, and then drains.
+// Run runs the gateway until ctx ends, and then drains it.
 func (g *Gateway) Run(ctx context.Context) error {
 	s := g.Settings
 	var lns [3]net.Listener
@@ -146,21 +147,21 @@
 	k.AddTask(func(ctx context.Context) error {
 		return telemetry.ServeHTTP(ctx, lns[1], &http.Server{Handler: g.admin().Handler()})
 	})
-	k.Add("callers", callers, func(own context.Context) error { return g.serveCallers(ctx, own, callers, lns[2]) })
+	k.Add("callers", callers, func(taskCtx context.Context) error { return g.serveCallers(ctx, taskCtx, callers, lns[2]) })
 	telemetry.Log("gateway_started", "box", s.Box, "hall", s.Hall, "incarnation", g.incarnation)
 	defer g.Close()
 	return k.Run(context.Background())
 }
 
-// Close ends every connection of the gateway.
-func (g *Gateway) Close() { g.end() }
+// Close closes every connection of the gateway.
+func (g *Gateway) Close() { g.cancel() }
 
-// serveCallers serves until stop, and then drains: it says "not ready", still
-// serves for as long as the balancer may take to notice, then stops listening
-// and waits for what is in progress.
-func (g *Gateway) serveCallers(stop, own context.Context, srv *http.Server, ln net.Listener) error {
+// serveCallers serves callers until stop ends, and then drains: it reports the
+// gateway as not ready, continues to serve for LingerFor so that load balancers
+// can notice, then stops listening and waits for the requests in progress.
+func (g *Gateway) serveCallers(stop, taskCtx context.Context, srv *http.Server, ln net.Listener) error {
 	served := make(chan error, 1)
-	go func() { served <- telemetry.ServeHTTP(own, ln, srv) }()
+	go func() { served <- telemetry.ServeHTTP(taskCtx, ln, srv) }()
 	select {
 	case err := <-served:
 		return err
@@ -169,7 +170,7 @@
 	telemetry.Log("drain_started", "box", g.Settings.Box)
 	g.draining.Store(true)
 	time.Sleep(g.Settings.LingerFor)
-	ctx, cancel := context.WithTimeout(own, g.Settings.DrainFor)
+	ctx, cancel := context.WithTimeout(taskCtx, g.Settings.DrainFor)
 	defer cancel()
 	err := srv.Shutdown(ctx)
 	telemetry.Log("drain_ended", "box", g.Settings.Box, "whole", err == nil)
@@ -180,8 +181,9 @@
 	return &telemetry.Admin{Metrics: g.Metrics, Ready: g.ready, Status: g.status}
 }
 
-// ready holds once the platform and the peers were asked, so that a restarted
-// gateway never serves by an older configuration than it could learn.
+// ready returns an error until the gateway has requested the configuration from
+// the platform and its peers, so that a restarted gateway never serves with an
+// older configuration than it could have received.
 func (g *Gateway) ready() error {
 	if g.draining.Load() {
 		return fault.New(fault.Draining, "")
@@ -189,15 +191,15 @@
 	select {
 	case <-g.feed.Synced():
 	default:
-		return fault.New(fault.NotReady, "still learning the configuration")
+		return fault.New(fault.NotReady, "initial synchronisation of the configuration is not complete")
 	}
 	if g.holder.Get().Config == nil {
-		return fault.New(fault.NotReady, "no configuration")
+		return fault.New(fault.NotReady, "no configuration received")
 	}
 	return nil
 }
 
-// queue returns the queue of a service.
+// queue returns the queue of a service, and creates it if necessary.
 func (g *Gateway) queue(service string) *limit.Queue {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -212,14 +214,15 @@
 	return q
 }
 
-// capacity is this gateway's part of what the hall's upstreams run at once. In a
-// hall that has none it is a part of what the others are configured to have, so
-// that what is spilled to them waits there, by their shares, and not here.
+// capacity returns this gateway's share of the requests that the hall's upstreams
+// run concurrently. If the hall has no slots for the service, it returns a share
+// of the configured capacity of the other halls, so that requests spilled to them
+// are queued there, by the organisations' fair shares, instead of here.
 func (g *Gateway) capacity(service string) int {
-	const least, assumedSlots = 2, 8
+	const minCapacity, assumedSlots = 2, 8
 	slots := g.router.Slots(time.Now(), service)
 	if slots > 0 {
-		return max(least, int(route.MaxInFlightPerSlot*float64(slots)/float64(g.gatewaysHere())))
+		return max(minCapacity, int(route.MaxInFlightPerSlot*float64(slots)/float64(g.gatewaysInHall())))
 	}
 	v := g.holder.Get()
 	for hall, n := range v.Config.Services[service].Replicas {
@@ -227,15 +230,16 @@
 			slots += assumedSlots * n
 		}
 	}
-	return max(least, slots/max(1, len(v.Gateways(""))))
+	return max(minCapacity, slots/max(1, len(v.Gateways(""))))
 }
 
-func (g *Gateway) gatewaysHere() int {
+func (g *Gateway) gatewaysInHall() int {
 	return max(1, len(g.holder.Get().Gateways(g.Settings.Hall)))
 }
 
-// rate returns an organisation's part of its limits. Organisations that are not
-// declared have none, and share one, so that callers cannot grow the table.
+// rate returns the rate limiter of an organisation. Organisations that are not
+// declared have no limits and share one limiter, so that callers cannot grow the
+// table.
 func (g *Gateway) rate(organisation string) *limit.Rate {
 	if _, declared := g.holder.Get().Config.Organisations[organisation]; !declared {
 		organisation = ""
--- a/internal/gateway/hop_test.go
+++ b/internal/gateway/hop_test.go
@@ -22,15 +22,15 @@
 	"github.com/poststand/poststand/internal/standin"
 )
 
-// sockets is where one gateway, one agent and one engine listen.
-type sockets struct {
-	direct, through  string // URLs of the engine and of the gateway's callers.
-	gateway, agent   string // Addresses for other processes.
-	admin, agentHTTP string // Of the gateway, and where the engine pulls weights.
+// endpoints holds the addresses of one gateway, one agent and one engine.
+type endpoints struct {
+	engineURL, gatewayURL  string // URLs of the engine and of the gateway's port for callers.
+	gatewayAddr, agentAddr string // Addresses for other processes.
+	adminAddr, sourceAddr  string // Of the gateway's admin port and the agent's weights source.
 }
 
-// overLoopback runs one gateway, one agent and one engine.
-func overLoopback(b testing.TB) sockets {
+// startLoopback starts one gateway, one agent and one engine on loopback addresses.
+func startLoopback(b testing.TB) endpoints {
 	b.Helper()
 	klog.SetOutput(io.Discard)
 	klog.LogToStderr(false)
@@ -50,7 +50,7 @@
 		go func() { _ = srv.Serve(ln) }()
 		return "http://" + ln.Addr().String()
 	}
-	free := func() string {
+	freeAddr := func() string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
@@ -58,8 +58,8 @@
 		defer func() { _ = ln.Close() }()
 		return ln.Addr().String()
 	}
-	direct := serve(e)
-	gwAddr, agAddr, callers := free(), free(), free()
+	engineURL := serve(e)
+	gwAddr, agAddr, callerAddr := freeAddr(), freeAddr(), freeAddr()
 	platform.Publish(map[string][]byte{"a.yaml": fmt.Appendf(nil, "halls: {h: {}}\nmodels: {m: {versions: {v: {manifest: %q}}}}\n"+
 		"services: {chat: {boxes: engine, model: m, version: v, replicas: {h: 1}}}\nweights: {window: 400ms}\n", digest)})
 	platform.SetFleet(map[string]fleet.Box{
@@ -67,11 +67,11 @@
 		"ag": {Name: "ag", Hall: "h", Class: "engine", Addr: agAddr},
 	})
 	common := settings.Common{Cluster: "c", Hall: "h", Join: []string{gwAddr}, DrainFor: time.Second, MaxConns: 64}
-	gs := &settings.Gateway{Common: common, HTTP: callers, Platform: serve(platform), MaxBody: 1 << 20, MaxAnswer: 1 << 20, MaxAttempts: 4}
+	gs := &settings.Gateway{Common: common, HTTP: callerAddr, Platform: serve(platform), MaxBody: 1 << 20, MaxAnswer: 1 << 20, MaxAttempts: 4}
 	gs.HeaderWait, gs.BodyWait = 300*time.Millisecond, 600*time.Millisecond
-	gs.Box, gs.Listen, gs.Admin = "gw", gwAddr, free()
-	as := &settings.Agent{Common: common, Engine: direct, Source: free(), Origin: serve(origin), Memory: 1 << 24, Strategy: settings.StrategySwarm, Slots: 64, Queue: 64}
-	as.Box, as.Listen, as.Admin = "ag", agAddr, free()
+	gs.Box, gs.Listen, gs.Admin = "gw", gwAddr, freeAddr()
+	as := &settings.Agent{Common: common, Engine: engineURL, Source: freeAddr(), Origin: serve(origin), Memory: 1 << 24, Strategy: settings.StrategySwarm, Slots: 64, Queue: 64}
+	as.Box, as.Listen, as.Admin = "ag", agAddr, freeAddr()
 	g, err := gateway.New(gs, gateway.Options{})
 	if err != nil {
 		b.Fatal(err)
@@ -92,21 +92,22 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	time.Sleep(time.Second)
-	return sockets{direct, "http://" + callers, gwAddr, agAddr, gs.Admin, as.Source}
+	return endpoints{engineURL, "http://" + callerAddr, gwAddr, agAddr, gs.Admin, as.Source}
 }
 
-// BenchmarkHop prints what the hop through gateway and agent costs against
-// asking the engine directly, in one run, the two in turn.
+// BenchmarkHop prints the latency of requests through gateway and agent compared
+// with requests sent directly to the engine. Both are measured in alternation in
+// the same run.
 func BenchmarkHop(b *testing.B) {
-	at := overLoopback(b)
+	ep := startLoopback(b)
 	hs := [2]*hdrhistogram.Histogram{hdrhistogram.New(1, 1e7, 3), hdrhistogram.New(1, 1e7, 3)}
 	body, _ := json.Marshal(standin.ChatRequest{
 		Model: "chat", MaxTokens: 8, Stream: true, Messages: []standin.Message{{Role: "user", Content: "hello"}},
 	})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
 	for b.Loop() {
-		for i, url := range []string{at.direct, at.through} {
-			began := time.Now()
+		for i, url := range []string{ep.engineURL, ep.gatewayURL} {
+			start := time.Now()
 			resp, err := client.Post(url+"/v1/chat/completions", "application/json", bytes.NewReader(body))
 			if err != nil {
 				b.Fatal(err)
@@ -116,7 +117,7 @@
 			if resp.StatusCode != http.StatusOK {
 				b.Fatal(resp.Status)
 			}
-			_ = hs[i].RecordValue(time.Since(began).Microseconds())
+			_ = hs[i].RecordValue(time.Since(start).Microseconds())
 		}
 	}
 	for _, q := range []float64{50, 99} {
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -15,26 +15,27 @@
 	"github.com/poststand/poststand/view"
 )
 
-// request is one request on its way through the gateway. It is decided by one
-// view from start to end.
+// request is a request that the gateway processes. The same view is used for it
+// from start to end.
 type request struct {
-	d         dispatch.Dispatch // Without what each attempt adds.
+	d         dispatch.Dispatch // Without the fields that each attempt sets.
 	view      *view.View
 	service   config.Service
-	prefix    string // What the prompt's prefix cache would be found by.
-	forwarded bool   // From a gateway of another hall; it never goes to a third.
+	prefix    string // Key for prefix-cache affinity; empty for none.
+	forwarded bool   // Received from a gateway of another hall; never forwarded again.
 	arrived   time.Time
-	version   string // The last version that was dispatched for.
+	version   string // The version of the last dispatch.
 }
 
-// process admits a request, dispatches it as often as is safe, and returns what
-// the caller is to be told. The answer has gone to out if it is Done.
+// process admits a request, dispatches it with retries where that is safe, and
+// returns the result for the caller. If the outcome is Done, the answer has been
+// written to out.
 func (g *Gateway) process(ctx context.Context, rq *request, out *sink) dispatch.Result {
 	org := rq.view.Config.Organisations[rq.d.Organisation]
 	gateways := len(rq.view.Gateways(""))
 	r := g.rate(rq.d.Organisation)
-	if at, err := r.Acquire(time.Now(), limit.Split(org.Rate, org.InFlight, gateways)); err != nil {
-		return refused(err, at)
+	if retryAt, err := r.Acquire(time.Now(), limit.Split(org.Rate, org.InFlight, gateways)); err != nil {
+		return refusal(err, retryAt)
 	}
 	defer r.Release()
 	g.budget.RecordRequest(time.Now(), rq.view.Config.Limits.RetryPercent)
@@ -42,41 +43,41 @@
 		Organisation: rq.d.Organisation, Weight: org.Weight, Priority: rq.d.Priority, Deadline: rq.d.Deadline,
 	})
 	if err != nil {
-		return refused(err, g.comeBack(rq))
+		return refusal(err, g.estimateRetryTime(rq))
 	}
 	defer release()
-	return g.tryAll(ctx, rq, out)
+	return g.dispatchWithRetries(ctx, rq, out)
 }
 
-func refused(err error, at time.Time) dispatch.Result {
-	return dispatch.Result{Outcome: dispatch.NotRun, Reason: fault.CodeOf(err), RetryAt: at}
+func refusal(err error, retryAt time.Time) dispatch.Result {
+	return dispatch.Result{Outcome: dispatch.NotRun, Reason: fault.CodeOf(err), RetryAt: retryAt}
 }
 
-// comeBack estimates when the queue will have room: its length over what this
-// gateway finishes, by the time answers are taking.
-func (g *Gateway) comeBack(rq *request) time.Time {
-	const each = 500 * time.Millisecond
+// estimateRetryTime estimates when the queue will have room, from its length and
+// the number of requests that run, assuming 500 ms for each request.
+func (g *Gateway) estimateRetryTime(rq *request) time.Time {
+	const perRequest = 500 * time.Millisecond
 	running, waiting := g.queue(rq.d.Service).Load()
-	return limit.RetryTime(time.Now(), each*time.Duration(waiting)/time.Duration(max(1, running)))
+	return limit.RetryTime(time.Now(), perRequest*time.Duration(waiting)/time.Duration(max(1, running)))
 }
 
-// tryAll dispatches until the outcome is final.
-func (g *Gateway) tryAll(ctx context.Context, rq *request, out *sink) dispatch.Result {
+// dispatchWithRetries dispatches a request until its outcome is final.
+func (g *Gateway) dispatchWithRetries(ctx context.Context, rq *request, out *sink) dispatch.Result {
 	tried := map[string]bool{}
-	var trail dispatch.Attempts
+	var attempts dispatch.Attempts
 	for {
-		res := trail.Add(g.tryOne(ctx, rq, tried, out))
+		res := attempts.Add(g.dispatchOnce(ctx, rq, tried, out))
 		now := time.Now()
-		step, why := dispatch.Decide(now, &rq.d, res, g.Settings.MaxAttempts, g.budget.Spend)
+		step, code := dispatch.Decide(now, &rq.d, res, g.Settings.MaxAttempts, g.budget.Spend)
 		switch step {
 		case dispatch.Deliver:
 			return res
 		case dispatch.GiveUp:
-			if why != "" {
-				res.Reason = why
+			if code != "" {
+				res.Reason = code
 			}
 			if res.Outcome == dispatch.NotRun && res.RetryAt.IsZero() {
-				res.RetryAt = g.comeBack(rq)
+				res.RetryAt = g.estimateRetryTime(rq)
 			}
 			return res
 		}
@@ -86,10 +87,11 @@
 	}
 }
 
-// pauseBeforeRetry lets a state that changes, such as a reload, settle.
+// pauseBeforeRetry waits before a retry, so that a transient state such as a
+// reload can pass. The wait doubles with each attempt, from 10 ms up to 320 ms.
 func pauseBeforeRetry(ctx context.Context, attempt int) {
-	const step = 5 * time.Millisecond
-	t := time.NewTimer(step << min(attempt, 6))
+	const unit = 5 * time.Millisecond
+	t := time.NewTimer(unit << min(attempt, 6))
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -97,19 +99,19 @@
 	}
 }
 
-// tryOne chooses a box and dispatches to it once.
-func (g *Gateway) tryOne(ctx context.Context, rq *request, tried map[string]bool, out *sink) dispatch.Result {
+// dispatchOnce chooses a box and makes one attempt there.
+func (g *Gateway) dispatchOnce(ctx context.Context, rq *request, tried map[string]bool, out *sink) dispatch.Result {
 	d := rq.d
-	d.Digest = g.version(rq)
+	d.Digest = g.targetVersion(rq)
 	rq.version = d.Digest
 	if d.Key != "" {
-		return g.tryHome(ctx, rq, d, out)
+		return g.dispatchToKeyHome(ctx, rq, d, out)
 	}
 	now := time.Now()
-	q := route.Query{Service: d.Service, Digest: d.Digest, Prefix: rq.prefix, Exclude: tried, Share: 1 / float64(g.gatewaysHere())}
+	q := route.Query{Service: d.Service, Digest: d.Digest, Prefix: rq.prefix, Exclude: tried, Share: 1 / float64(g.gatewaysInHall())}
 	u, err := g.router.Pick(now, q)
 	if err != nil && len(tried) > 0 {
-		// Every one was tried; each may have changed its mind since.
+		// Every upstream was tried, but the state of each may have changed since.
 		clear(tried)
 		u, err = g.router.Pick(now, q)
 	}
@@ -119,29 +121,30 @@
 	tried[u.Box.Name] = true
 	a := &attempt{gateway: g, d: &d, addr: u.Box.Addr, box: u.Box.Name, sink: out}
 	res := a.run(ctx)
-	g.learn(u, a, now, res)
+	g.recordResult(u, a, now, res)
 	return res
 }
 
-// learn tells the router how an attempt went.
-func (g *Gateway) learn(u route.Upstream, a *attempt, began time.Time, res dispatch.Result) {
-	e := route.DispatchResult{}
-	if !a.firstAt.IsZero() {
-		e.FirstData = a.firstAt.Sub(began)
-		g.Metrics.FirstData(e.FirstData.Seconds())
+// recordResult reports the result of an attempt to the router.
+func (g *Gateway) recordResult(u route.Upstream, a *attempt, start time.Time, res dispatch.Result) {
+	dr := route.DispatchResult{}
+	if !a.firstDataAt.IsZero() {
+		dr.FirstData = a.firstDataAt.Sub(start)
+		g.Metrics.FirstData(dr.FirstData.Seconds())
 	}
 	switch res.Reason {
-	case "", fault.Cancelled, errSink:
+	case "", fault.Cancelled, codeCallerGone:
 	case fault.Unreachable, fault.Closed, fault.Stalled, fault.UpstreamFailed, fault.Truncated, fault.MixedVersion, fault.Timeout:
-		e.Failed = true
+		dr.Failed = true
 	default:
 		g.router.RecordRefusal(u.Box.Name, u.Report.Incarnation, res.Reason)
 	}
-	g.router.Done(time.Now(), u.Box.Name, u.Report.Incarnation, e)
+	g.router.Done(time.Now(), u.Box.Name, u.Report.Incarnation, dr)
 }
 
-// version is the one that the service is asked for in this hall now.
-func (g *Gateway) version(rq *request) string {
+// targetVersion returns the digest of the version to dispatch for in this hall,
+// which is empty for a plain service.
+func (g *Gateway) targetVersion(rq *request) string {
 	if rq.service.Kind == config.KindPlain {
 		return ""
 	}
@@ -151,48 +154,50 @@
 	}, &g.router)
 }
 
-// tryHome dispatches a request with an idempotency key to the key's home, which
-// every gateway with the same view computes alike, wherever it is.
-func (g *Gateway) tryHome(ctx context.Context, rq *request, d dispatch.Dispatch, out *sink) dispatch.Result {
+// dispatchToKeyHome dispatches a request with an idempotency key to the key's
+// home, in whichever hall that is. Every gateway with the same view computes the
+// same home.
+func (g *Gateway) dispatchToKeyHome(ctx context.Context, rq *request, d dispatch.Dispatch, out *sink) dispatch.Result {
 	home := rendezvous.First(d.Key, rq.view.Placement.ByService[d.Service])
 	b, ok := rq.view.Boxes[home]
 	if !ok {
-		return refused(fault.New(fault.NoUpstream, d.Service), g.comeBack(rq))
+		return refusal(fault.New(fault.NoUpstream, d.Service), g.estimateRetryTime(rq))
 	}
 	a := &attempt{gateway: g, d: &d, addr: b.Addr, sink: out}
 	res := a.run(ctx)
 	if res.Reason != fault.Unreachable {
 		return res
 	}
-	// What a dead home ran is not known here, so nobody else may run it. The request itself may
-	// have been sent to it, where its end was noticed only then.
+	// Which keys an unreachable home has run is unknown, so no other box may run the request.
+	// The outcome may be Unknown rather than NotRun: the home may have received the request
+	// before it became unreachable.
 	res.Reason = fault.HomeUnreachable
 	if res.Outcome == dispatch.NotRun {
-		res.RetryAt = g.comeBack(rq)
+		res.RetryAt = g.estimateRetryTime(rq)
 	}
 	return res
 }
 
-// spill forwards to a gateway of another hall when this hall has nobody for a
-// service. A forwarded request is never spilled again.
-func (g *Gateway) spill(ctx context.Context, rq *request, d dispatch.Dispatch, out *sink, why error) dispatch.Result {
+// spill forwards a request to a gateway of another hall when no upstream of this
+// hall is available for the service. A forwarded request is never spilled again.
+func (g *Gateway) spill(ctx context.Context, rq *request, d dispatch.Dispatch, out *sink, cause error) dispatch.Result {
 	if rq.forwarded {
-		return refused(why, g.comeBack(rq))
+		return refusal(cause, g.estimateRetryTime(rq))
 	}
-	gw, ok := g.elsewhere(rq, d.ID.Attempt)
+	gw, ok := g.remoteGateway(rq, d.ID.Attempt)
 	if !ok {
-		return refused(why, g.comeBack(rq))
+		return refusal(cause, g.estimateRetryTime(rq))
 	}
 	g.Metrics.Event("spill", gw.Hall)
-	rq.version = "" // Another hall's gateway decides it.
+	rq.version = "" // The gateway of the other hall chooses the version.
 	d.Digest = ""
 	a := &attempt{gateway: g, d: &d, addr: gw.Addr, forward: true, sink: out}
 	return a.runForward(ctx)
 }
 
-// elsewhere chooses a gateway of a hall where the service has replicas; each
-// attempt another one.
-func (g *Gateway) elsewhere(rq *request, attempt int) (fleet.Box, bool) {
+// remoteGateway chooses a gateway of another hall where the service has replicas.
+// Successive attempts use different gateways.
+func (g *Gateway) remoteGateway(rq *request, attempt int) (fleet.Box, bool) {
 	var boxes []string
 	for _, b := range rq.view.Gateways("") {
 		if b.Hall != g.Settings.Hall && rq.service.Replicas[b.Hall] > 0 {
--- a/internal/gateway/sockets_test.go
+++ b/internal/gateway/sockets_test.go
@@ -15,23 +15,23 @@
 	"github.com/poststand/poststand/internal/gateway"
 )
 
-// Garbage, silence, and requests that are cut short, on every port, are ended by
-// the process; and meanwhile others are served.
+// A connection that sends garbage, nothing or a truncated request must be closed by
+// the process, on every port, and other callers must be served meanwhile.
 func TestBadInputOnEveryPort(t *testing.T) {
-	at := overLoopback(t)
-	callers := strings.TrimPrefix(at.through, "http://")
+	at := startLoopback(t)
+	callers := strings.TrimPrefix(at.gatewayURL, "http://")
 	cases := []struct {
 		name, addr, bytes string
 	}{
-		{"garbage to the gateway's peers", at.gateway, "GET / HTTP/1.1\r\n\r\n"},
-		{"a frame over the bound", at.gateway, "\xff\xff\xff\xff\x01\x00\x00\x00\x00\x00\x00\x00\x00"},
-		{"garbage to the agent's peers", at.agent, strings.Repeat("\x00", 64)},
-		{"silence to the agent's peers", at.agent, ""},
-		{"half a header of a caller", callers, "POST /v1/chat/completions HTTP/1.1\r\nHo"},
-		{"half a body of a caller", callers, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{"},
-		{"garbage of a caller", callers, "\x16\x03\x01\x02\x00\x01\x00"},
-		{"half a header to the admin port", at.admin, "GET /sta"},
-		{"garbage to the source of weights", at.agentHTTP, "nonsense\r\n\r\n"},
+		{"garbage to the gateway's peer port", at.gatewayAddr, "GET / HTTP/1.1\r\n\r\n"},
+		{"frame over the size limit", at.gatewayAddr, "\xff\xff\xff\xff\x01\x00\x00\x00\x00\x00\x00\x00\x00"},
+		{"garbage to the agent's peer port", at.agentAddr, strings.Repeat("\x00", 64)},
+		{"silence to the agent's peer port", at.agentAddr, ""},
+		{"truncated header from a caller", callers, "POST /v1/chat/completions HTTP/1.1\r\nHo"},
+		{"truncated body from a caller", callers, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{"},
+		{"garbage from a caller", callers, "\x16\x03\x01\x02\x00\x01\x00"},
+		{"truncated header to the admin port", at.adminAddr, "GET /sta"},
+		{"garbage to the weights source", at.sourceAddr, "nonsense\r\n\r\n"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -41,14 +41,14 @@
 			defer func() { _ = nc.Close() }()
 			_, err = nc.Write([]byte(tc.bytes))
 			is.NoErr(err)
-			resp, err := http.Post(at.through+"/v1/chat/completions", "application/json",
+			resp, err := http.Post(at.gatewayURL+"/v1/chat/completions", "application/json",
 				strings.NewReader(`{"model":"chat","max_tokens":2,"messages":[{"role":"user","content":"x"}]}`))
 			is.NoErr(err)
 			_ = resp.Body.Close()
-			is.Equal(resp.StatusCode, http.StatusOK) // Another caller is served meanwhile.
+			is.Equal(resp.StatusCode, http.StatusOK) // Other callers are still served.
 			is.NoErr(nc.SetReadDeadline(time.Now().Add(time.Minute)))
 			_, err = io.Copy(io.Discard, nc)
-			is.True(!isTimeout(err)) // The process ended it, by itself.
+			is.True(!isTimeout(err)) // The process closed the connection.
 		})
 	}
 }
@@ -58,11 +58,12 @@
 	return ok && ne.Timeout()
 }
 
-// A caller that sends less than it promised is told so, in the usual form.
-func TestTruncatedBodyIsRefusedInForm(t *testing.T) {
+// A request whose body is shorter than its Content-Length must be refused with the
+// usual JSON error body.
+func TestTruncatedBodyIsRefusedWithErrorBody(t *testing.T) {
 	is := is.New(t)
-	at := overLoopback(t)
-	nc, err := net.Dial("tcp", strings.TrimPrefix(at.through, "http://"))
+	at := startLoopback(t)
+	nc, err := net.Dial("tcp", strings.TrimPrefix(at.gatewayURL, "http://"))
 	is.NoErr(err)
 	defer func() { _ = nc.Close() }()
 	_, err = fmt.Fprint(nc, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{\"model\"")
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -6,7 +6,7 @@
 	"github.com/poststand/poststand/route"
 )
 
-// Status is what a gateway says of itself.
+// Status is the status that a gateway reports on its admin port.
 type Status struct {
 	Role      string                 `json:"role"`
 	Box       string                 `json:"box"`
@@ -14,21 +14,21 @@
 	Revision  uint64                 `json:"revision"`
 	Digest    string                 `json:"configuration"`
 	Fleet     uint64                 `json:"fleet"`
-	Fresh     bool                   `json:"fresh"` // Vouched for by the platform of late.
+	Fresh     bool                   `json:"fresh"` // The platform has confirmed the view recently.
 	Draining  bool                   `json:"draining"`
 	Services  map[string]ServiceLoad `json:"services"`
 	Upstreams []UpstreamStatus       `json:"upstreams"`
-	Short     map[string]int         `json:"short"` // Replicas for which there is no box.
+	Short     map[string]int         `json:"short"` // Number of replicas without a box, by service.
 }
 
-// ServiceLoad is a service as this gateway sees it.
+// ServiceLoad is the load of a service at this gateway.
 type ServiceLoad struct {
 	Running  int            `json:"running"`
 	Waiting  int            `json:"waiting"`
-	Versions map[string]int `json:"versions"` // Ready replicas in this hall by version.
+	Versions map[string]int `json:"versions"` // Number of ready replicas in this hall, by version.
 }
 
-// UpstreamStatus is an upstream as this gateway sees it.
+// UpstreamStatus is the state of an upstream in this gateway's router.
 type UpstreamStatus struct {
 	Box      string  `json:"box"`
 	Service  string  `json:"service"`
--- a/internal/gateway/subscribe.go
+++ b/internal/gateway/subscribe.go
@@ -10,16 +10,16 @@
 	"github.com/poststand/poststand/view"
 )
 
-// subscribe keeps the router's table and a subscription with each agent that
-// the placement names in this hall.
+// subscribe keeps the router's table up to date, and a subscription to each agent
+// in this hall to which the placement assigns a service.
 func (g *Gateway) subscribe(ctx context.Context) error {
-	var open kernel.WorkerSet[fleet.Box]
-	defer open.Stop()
+	var subscriptions kernel.WorkerSet[fleet.Box]
+	defer subscriptions.Stop()
 	for {
 		v, changed := g.holder.Watch()
-		boxes := g.placedHere(v)
+		boxes := g.placedInHall(v)
 		g.router.Sync(boxes)
-		open.Sync(ctx, boxes, g.listen)
+		subscriptions.Sync(ctx, boxes, g.followReports)
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -28,23 +28,24 @@
 	}
 }
 
-func (g *Gateway) placedHere(v *view.View) []fleet.Box {
+func (g *Gateway) placedInHall(v *view.View) []fleet.Box {
 	return fleet.Select(v.Boxes, func(b fleet.Box) bool {
 		_, placed := v.Placement.ByBox[b.Name]
 		return placed && b.Hall == g.Settings.Hall
 	})
 }
 
-// listen takes an agent's reports until ctx ends.
-func (g *Gateway) listen(ctx context.Context, b fleet.Box) {
-	// A connection that worked is made anew at once: the box may well be there.
-	const first, most = 5 * time.Millisecond, 2 * time.Second
-	for wait := first; ctx.Err() == nil; wait = min(2*wait, most) {
-		if g.reports(ctx, b) {
-			wait = first
+// followReports passes the reports of an agent to the router until ctx ends.
+func (g *Gateway) followReports(ctx context.Context, b fleet.Box) {
+	// After a subscription that delivered reports, the backoff starts again from its
+	// minimum, since the box is probably reachable.
+	const minBackoff, maxBackoff = 5 * time.Millisecond, 2 * time.Second
+	for backoff := minBackoff; ctx.Err() == nil; backoff = min(2*backoff, maxBackoff) {
+		if g.readReports(ctx, b) {
+			backoff = minBackoff
 		}
 		g.router.MarkDisconnected(b.Name)
-		timer := time.NewTimer(wait)
+		timer := time.NewTimer(backoff)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -53,8 +54,9 @@
 	}
 }
 
-// reports reads one subscription to its end and says whether it began.
-func (g *Gateway) reports(ctx context.Context, b fleet.Box) bool {
+// readReports reads one subscription until it ends, and reports whether it delivered
+// at least one report.
+func (g *Gateway) readReports(ctx context.Context, b fleet.Box) bool {
 	c, err := g.pool.Get(ctx, b.Addr)
 	if err != nil {
 		return false
@@ -64,11 +66,11 @@
 		return false
 	}
 	defer s.Close()
-	for some := false; ; some = true {
+	for received := false; ; received = true {
 		m, err := s.Recv(ctx)
 		r, ok := m.(*dispatch.Report)
 		if err != nil || !ok {
-			return some
+			return received
 		}
 		g.router.UpdateReport(time.Now(), b.Name, *r)
 	}
--- a/internal/gateway/writer.go
+++ b/internal/gateway/writer.go
@@ -14,15 +14,15 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// writer gives one caller its answer: a buffered one only once it is whole, a
-// streamed one as it comes.
+// writer writes the answer to one caller: a buffered answer once it is complete, a
+// streamed answer as it arrives.
 type writer struct {
 	gateway *Gateway
 	w       http.ResponseWriter
 	rq      *request
 	head    *dispatch.AnswerHead
 	buf     bytes.Buffer
-	started bool // Parts of a stream have gone to the caller.
+	started bool // Parts of a streamed answer have been sent to the caller.
 }
 
 func (o *writer) sink() *sink {
@@ -32,8 +32,8 @@
 			o.buf.Reset()
 			return nil
 		},
-		data:  o.data,
-		shown: func() bool { return o.started },
+		data:    o.data,
+		started: func() bool { return o.started },
 	}
 }
 
@@ -53,7 +53,7 @@
 		o.w.WriteHeader(http.StatusOK)
 	}
 	rc := http.NewResponseController(o.w)
-	if err := writeBy(o.w, o.rq.d.Deadline.Add(time.Second)); err != nil {
+	if err := setWriteDeadline(o.w, o.rq.d.Deadline.Add(time.Second)); err != nil {
 		return err
 	}
 	if _, err := o.w.Write(b); err != nil {
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// slowCaller is how long a caller may take to read an answer that is all there.
-const slowCaller = 30 * time.Second
+// answerWriteTimeout is how long a caller may take to read a complete answer.
+const answerWriteTimeout = 30 * time.Second
 
-// writeBy bounds what a caller that does not read can hold up.
-func writeBy(w http.ResponseWriter, deadline time.Time) error {
+// setWriteDeadline bounds how long a caller that does not read can block a write.
+func setWriteDeadline(w http.ResponseWriter, deadline time.Time) error {
 	err := http.NewResponseController(w).SetWriteDeadline(deadline)
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return fault.Wrap(fault.Closed, err, "caller")
@@ -87,8 +87,8 @@
 	}
 }
 
-// finish ends the answer. A stream that is not whole ends with an error event
-// and an aborted body, so that no caller can take it for complete.
+// finish ends the answer. An incomplete stream ends with an error event and an
+// aborted body, so that no caller can mistake it for a complete one.
 func (o *writer) finish(res dispatch.Result) {
 	switch {
 	case res.Outcome != dispatch.Done && o.started:
@@ -98,9 +98,9 @@
 		_ = http.NewResponseController(o.w).Flush()
 		panic(http.ErrAbortHandler)
 	case res.Outcome != dispatch.Done:
-		o.gateway.fail(o.w, res)
+		o.gateway.writeError(o.w, res)
 	case !o.started:
-		_ = writeBy(o.w, time.Now().Add(slowCaller))
+		_ = setWriteDeadline(o.w, time.Now().Add(answerWriteTimeout))
 		o.headers("ran")
 		o.w.Header().Set("Content-Length", strconv.Itoa(o.buf.Len()))
 		o.w.WriteHeader(o.head.Status)
@@ -108,12 +108,12 @@
 	}
 }
 
-// ErrorBody is the JSON of every refusal.
+// ErrorBody is the JSON body of every refusal.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what happened and whether the request ran.
+// ErrorDetail describes a refusal and whether the request may have run.
 type ErrorDetail struct {
 	Code         fault.Code `json:"code"`
 	Outcome      string     `json:"outcome"` // "not_run" or "unknown".
@@ -136,12 +136,12 @@
 	return "The request may have run; its answer could not be had."
 }
 
-// fail gives a caller its refusal, at once.
-func (g *Gateway) fail(w http.ResponseWriter, res dispatch.Result) {
+// writeError sends a refusal to the caller.
+func (g *Gateway) writeError(w http.ResponseWriter, res dispatch.Result) {
 	g.Metrics.Refused(res.Reason)
 	b := errorBody(res)
 	h := w.Header()
-	_ = writeBy(w, time.Now().Add(slowCaller))
+	_ = setWriteDeadline(w, time.Now().Add(answerWriteTimeout))
 	h.Set("Content-Type", "application/json")
 	h.Set(HeaderOutcome, b.Error.Outcome)
 	if b.Error.RetryAfterMS > 0 {
@@ -151,7 +151,7 @@
 	_ = json.NewEncoder(w).Encode(b)
 }
 
-// statusOf maps a refusal to an HTTP status.
+// statusOf returns the HTTP status for a refusal.
 func statusOf(res dispatch.Result) int {
 	switch res.Reason {
 	case fault.BadRequest:
