--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -21,47 +21,47 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// Codec knows every message that an agent sends or takes.
+// Codec encodes and decodes every message that an agent sends or receives.
 var Codec = wire.NewCodec(dispatch.Messages, feed.Messages, weights.Messages)
 
-// Agent is one agent. Use New.
+// Agent is an agent process. Use New to create one.
 type Agent struct {
 	Settings *settings.Agent
 	Metrics  *telemetry.Metrics
 
-	started  time.Time
-	holder   *view.Holder
-	feed     *feed.Feed
-	gate     *dispatch.Gate
-	engine   *engine.Client
-	exchange *weights.Exchange
-	requests *wire.Pool // To other agents, about rollouts.
-	homes    homes
-	loader   *loader
-	moved    movedBytes
-	links    *rate.Limiter // Nil where the link is not known.
-	life     context.Context
-	end      context.CancelFunc
-	changed  notifier // Wakes those that report.
-	handlers *wire.Handlers
-}
-
-// Options are the seams at which tests put fakes. The zero value is the real
-// thing.
+	started       time.Time
+	holder        *view.Holder
+	feed          *feed.Feed
+	gate          *dispatch.Gate
+	engine        *engine.Client
+	exchange      *weights.Exchange
+	peerPool      *wire.Pool // Connections to gateways and other agents.
+	homes         homeTracker
+	loader        *loader
+	weightsEvents eventCounts
+	linkLimiter   *rate.Limiter // Nil if the bandwidth of the link is not configured.
+	lifetime      context.Context
+	cancel        context.CancelFunc
+	reportChanged notifier // Notified when subscribers need a new report.
+	handlers      *wire.Handlers
+}
+
+// Options replaces dependencies of an agent in tests. The zero value selects the
+// real ones.
 type Options struct {
 	Dial   func(ctx context.Context, addr string) (net.Conn, error)
 	Engine *http.Client
 	Origin *http.Client
 }
 
-// New returns an agent with its parts joined.
+// New returns an agent with the given settings. Run starts it.
 func New(s *settings.Agent, o Options) (*Agent, error) {
 	m, err := telemetry.New()
 	if err != nil {
 		return nil, err
 	}
 	a := &Agent{Settings: s, Metrics: m, started: time.Now(), holder: &view.Holder{}}
-	a.life, a.end = context.WithCancel(context.Background())
+	a.lifetime, a.cancel = context.WithCancel(context.Background())
 	a.gate = &dispatch.Gate{Incarnation: uint64(a.started.UnixNano()), Slots: s.Slots, Queue: s.Queue}
 	if o.Engine == nil {
 		o.Engine = &http.Client{Transport: &http.Transport{
@@ -69,45 +69,45 @@
 		}}
 	}
 	if o.Origin == nil {
-		o.Origin = &http.Client{Transport: &http.Transport{DialContext: a.fromOwnAddress()}}
+		o.Origin = &http.Client{Transport: &http.Transport{DialContext: a.dialFromListenAddr()}}
 	}
 	a.engine = &engine.Client{URL: s.Engine, HTTP: o.Engine}
-	a.requests = a.pool(wire.Options{})
-	a.requests.Dial = o.Dial
+	a.peerPool = a.newPool(wire.Options{})
+	a.peerPool.Dial = o.Dial
 	a.feed = &feed.Feed{
-		Box: s.Box, Hall: s.Hall, Addr: s.Listen, Pool: a.requests, Join: s.Join, Holder: a.holder,
+		Box: s.Box, Hall: s.Hall, Addr: s.Listen, Pool: a.peerPool, Join: s.Join, Holder: a.holder,
 		Event: func(name string, c fault.Code) { m.Event("feed_"+name, string(c)) },
 	}
 	if s.LinkBPS > 0 {
-		a.links = rate.NewLimiter(rate.Limit(s.LinkBPS), weightsPart)
+		a.linkLimiter = rate.NewLimiter(rate.Limit(s.LinkBPS), weightsPartBytes)
 	}
 	a.exchange = a.newExchange(o)
 	a.loader = &loader{agent: a}
 	a.handlers = &wire.Handlers{}
-	a.serve(a.handlers)
+	a.registerHandlers(a.handlers)
 	a.exchange.Serve(a.handlers)
 	a.exchange.Pool.Handlers = a.handlers
 	return a, nil
 }
 
-// strategies are the ways of distribution that settings may name. All boxes of
-// a fleet must use the same; the others are baselines for measurements.
+// strategies are the distribution strategies that settings may name. All boxes of a
+// fleet must use the same strategy; the others are baselines for measurements.
 var strategies = map[string]weights.Strategy{
 	settings.StrategySwarm: weights.Swarm, settings.StrategyTree: weights.Tree, settings.StrategyDirect: weights.Direct,
 }
 
-// fromOwnAddress dials from the address that the process was given, by which the
-// origin knows the box.
-func (a *Agent) fromOwnAddress() func(ctx context.Context, network, addr string) (net.Conn, error) {
+// dialFromListenAddr returns a dial function whose connections have the IP address of
+// the Listen setting as their source, by which the origin identifies the box.
+func (a *Agent) dialFromListenAddr() func(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := &net.Dialer{}
-	if own, err := netip.ParseAddrPort(a.Settings.Listen); err == nil {
-		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(own.Addr(), 0))
+	if listen, err := netip.ParseAddrPort(a.Settings.Listen); err == nil {
+		d.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(listen.Addr(), 0))
 	}
 	return d.DialContext
 }
 
-// weightsPart is the bytes of a message with weights.
-const weightsPart = 64 << 10
+// weightsPartBytes is the size of a part of a chunk in a message.
+const weightsPartBytes = 64 << 10
 
 func (a *Agent) hello() wire.Hello {
 	return wire.Hello{
@@ -116,44 +116,45 @@
 	}
 }
 
-func (a *Agent) pool(o wire.Options) *wire.Pool {
+func (a *Agent) newPool(o wire.Options) *wire.Pool {
 	o.OnFault = func(c fault.Code) { a.Metrics.Event("connection", string(c)) }
 	o.OnTraffic = func(sent, received int) {
 		a.Metrics.Bytes("control_sent", sent)
 		a.Metrics.Bytes("control_received", received)
 	}
-	return &wire.Pool{Local: a.hello(), Codec: Codec, Options: o, Lifetime: a.life}
+	return &wire.Pool{Local: a.hello(), Codec: Codec, Options: o, Lifetime: a.lifetime}
 }
 
 func (a *Agent) newExchange(o Options) *weights.Exchange {
 	s := a.Settings
-	p := a.pool(wire.Options{WriteQueue: 8})
+	p := a.newPool(wire.Options{WriteQueue: 8})
 	p.Options.OnTraffic, p.Dial = nil, o.Dial
 	return &weights.Exchange{
 		Self:  weights.Member{Name: s.Box, Hall: s.Hall, Addr: s.Listen},
-		Store: &weights.Store{Limit: s.Memory}, Pool: p, Strategy: strategies[s.Strategy], PartBytes: weightsPart,
+		Store: &weights.Store{Limit: s.Memory}, Pool: p, Strategy: strategies[s.Strategy], PartBytes: weightsPartBytes,
 		FetchOrigin: (&weights.OriginClient{URL: s.Origin, HTTP: o.Origin}).Get,
 		Pace:        a.pace, Event: a.weightsEvent,
 	}
 }
 
-// pace keeps weights to their share of the link while requests run here.
+// pace waits until n bytes of weights may be sent. While requests run on this box,
+// weights are limited to their configured share of the link.
 func (a *Agent) pace(ctx context.Context, n int) error {
-	if a.links == nil {
+	if a.linkLimiter == nil {
 		return nil
 	}
 	limit := rate.Limit(a.Settings.LinkBPS)
 	if cfg := a.holder.Get().Config; cfg != nil && !a.gate.Idle() {
 		limit *= rate.Limit(cfg.Weights.LinkPercent) / 100
 	}
-	if a.links.Limit() != limit {
-		a.links.SetLimit(limit)
+	if a.linkLimiter.Limit() != limit {
+		a.linkLimiter.SetLimit(limit)
 	}
-	return a.links.WaitN(ctx, n)
+	return a.linkLimiter.WaitN(ctx, n)
 }
 
-// Run runs the agent until ctx ends, and then drains: it announces that it
-// leaves, lets what it admitted finish, and returns.
+// Run runs the agent until ctx ends, and then drains it: it reports that it is
+// draining, waits for the admitted requests, and returns.
 func (a *Agent) Run(ctx context.Context) error {
 	ln, err := net.Listen("tcp", a.Settings.Listen)
 	if err != nil {
@@ -177,57 +178,58 @@
 	k.AddTask(func(ctx context.Context) error {
 		return telemetry.ServeHTTP(ctx, admin, &http.Server{Handler: a.admin().Handler()})
 	})
-	k.AddTask(func(own context.Context) error { return a.drain(ctx, own) })
+	k.AddTask(func(taskCtx context.Context) error { return a.drain(ctx, taskCtx) })
 	telemetry.Log("agent_started", "box", a.Settings.Box, "hall", a.Settings.Hall, "incarnation", a.gate.Incarnation)
 	defer a.Close()
 	return k.Run(context.Background())
 }
 
-// Server returns what accepts other processes' connections.
+// Server returns the server for connections from other processes.
 func (a *Agent) Server() *wire.Server {
 	return &wire.Server{
-		Local: a.hello(), Codec: Codec, Handlers: a.handlers, MaxConns: a.Settings.MaxConns, Options: a.requests.Options,
+		Local: a.hello(), Codec: Codec, Handlers: a.handlers, MaxConns: a.Settings.MaxConns, Options: a.peerPool.Options,
 	}
 }
 
-// Duties adds to k what an agent does without being asked.
+// Duties adds the background tasks of the agent to k.
 func (a *Agent) Duties(k *kernel.Kernel) {
 	k.Add("feed", a.feed, a.feed.Run)
 	k.Add("loader", a.loader, a.loader.run)
 	k.Add("homes", &a.homes, a.watchHomes)
 }
 
-// Close ends every connection and request of the agent, as its death would.
-func (a *Agent) Close() { a.end() }
+// Close closes every connection and cancels every request of the agent, as a crash
+// would.
+func (a *Agent) Close() { a.cancel() }
 
-// Serves reports whether the agent takes requests at a version.
+// Serves reports whether the agent accepts requests for the version with the digest.
 func (a *Agent) Serves(digest string) bool {
 	r := a.gate.Report(time.Now())
 	return r.Ready && r.Digest == digest
 }
 
-// drain waits for stop, and then drains.
-func (a *Agent) drain(stop, own context.Context) error {
+// drain waits until stop ends, and then drains the agent.
+func (a *Agent) drain(stop, taskCtx context.Context) error {
 	select {
 	case <-stop.Done():
 		a.Drain(time.Now().Add(a.Settings.DrainFor))
-	case <-own.Done():
+	case <-taskCtx.Done():
 	}
 	return nil
 }
 
-// Drain announces that the agent leaves, takes no more requests, and returns
-// once nothing runs or the deadline has come.
+// Drain reports to subscribers that the agent is draining, refuses new requests, and
+// returns when no request runs or the deadline has passed.
 func (a *Agent) Drain(deadline time.Time) {
 	telemetry.Log("drain_started", "box", a.Settings.Box, "deadline", deadline)
 	a.gate.Drain()
-	a.changed.notify()
-	const look = 20 * time.Millisecond
+	a.reportChanged.notify()
+	const pollInterval = 20 * time.Millisecond
 	for !a.gate.Idle() && time.Now().Before(deadline) {
-		time.Sleep(look)
+		time.Sleep(pollInterval)
 	}
-	const flush = 300 * time.Millisecond // For the last frames to leave.
-	time.Sleep(flush)
+	const flushTime = 300 * time.Millisecond // Allows the last frames to be sent.
+	time.Sleep(flushTime)
 	telemetry.Log("drain_ended", "box", a.Settings.Box, "idle", a.gate.Idle())
 }
 
--- a/internal/agent/home.go
+++ b/internal/agent/home.go
@@ -11,33 +11,34 @@
 	"github.com/poststand/poststand/view"
 )
 
-// homes knows since when this agent is the home of a key. It remembers the sets
-// of boxes that served a service for as long as a key is remembered, so that a
-// key whose home did not move is not held up when others' did.
-type homes struct {
+// homeTracker determines since when this agent has been the home of a key. It keeps
+// the sets of boxes that served each service within the key window, so that a key
+// whose home did not move is not delayed when the homes of other keys move.
+type homeTracker struct {
 	mu      sync.Mutex
 	window  time.Duration
 	started time.Time
-	history map[string][]placed
+	history map[string][]boxSet
 }
 
-// placed is a set of boxes that serves a service from a time on.
-type placed struct {
+// boxSet is a set of boxes that has served a service since a point in time.
+type boxSet struct {
 	since time.Time
 	boxes []string
 }
 
-// maxHistory bounds the sets that are remembered; past it, the oldest are
-// merged into "not the home", which only delays a key.
+// maxHistory is the maximum number of sets that are kept for a service. Dropping the
+// oldest can make the agent appear to have become the home of a key later than it
+// did, which only delays requests with that key.
 const maxHistory = 64
 
-func (h *homes) keyWindow() time.Duration {
+func (h *homeTracker) keyWindow() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.window
 }
 
-// watchHomes records each placement.
+// watchHomes records each new placement until ctx ends.
 func (a *Agent) watchHomes(ctx context.Context) error {
 	for {
 		v, changed := a.holder.Watch()
@@ -53,22 +54,22 @@
 	}
 }
 
-func (h *homes) record(now, started time.Time, v *view.View) {
+func (h *homeTracker) record(now, started time.Time, v *view.View) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.history == nil {
-		h.history = map[string][]placed{}
+		h.history = map[string][]boxSet{}
 	}
 	h.window, h.started = v.Config.Limits.KeyWindow, started
 	for service, boxes := range v.Placement.ByService {
-		past := h.history[service]
-		if n := len(past); n == 0 || !slices.Equal(past[n-1].boxes, boxes) {
-			past = append(past, placed{now, boxes})
+		sets := h.history[service]
+		if n := len(sets); n == 0 || !slices.Equal(sets[n-1].boxes, boxes) {
+			sets = append(sets, boxSet{now, boxes})
 		}
-		for len(past) > 1 && (now.Sub(past[1].since) > h.window || len(past) > maxHistory) {
-			past = past[1:]
+		for len(sets) > 1 && (now.Sub(sets[1].since) > h.window || len(sets) > maxHistory) {
+			sets = sets[1:]
 		}
-		h.history[service] = past
+		h.history[service] = sets
 	}
 	for service := range h.history {
 		if _, ok := v.Placement.ByService[service]; !ok {
@@ -77,20 +78,20 @@
 	}
 }
 
-// of says what box knows of being the home of a dispatch's key.
-func (h *homes) of(box string, d *dispatch.Dispatch, v *view.View) dispatch.KeyHome {
+// keyHome returns whether and since when box is the home of the key of a dispatch.
+func (h *homeTracker) keyHome(box string, d *dispatch.Dispatch, v *view.View) dispatch.KeyHome {
 	if d.Key == "" {
 		return dispatch.KeyHome{}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	past := h.history[d.Service]
+	sets := h.history[d.Service]
 	home := dispatch.KeyHome{FreshUntil: v.FreshUntil, Since: time.Now()}
-	for i := len(past) - 1; i >= 0; i-- {
-		if rendezvous.First(d.Key, past[i].boxes) != box {
+	for i := len(sets) - 1; i >= 0; i-- {
+		if rendezvous.First(d.Key, sets[i].boxes) != box {
 			break
 		}
-		home.IsHome, home.Since = true, past[i].since
+		home.IsHome, home.Since = true, sets[i].since
 	}
 	return home
 }
--- a/internal/agent/loader.go
+++ b/internal/agent/loader.go
@@ -17,25 +17,25 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// loader brings the box to what the configuration places on it: it runs the
-// transfers, gives the engine its orders and opens the gate.
+// loader makes the box serve what the configuration assigns to it: it runs the
+// transfers of weights, sends orders to the engine, and opens and closes the gate.
 type loader struct {
 	agent     *Agent
-	transfers map[string]*running
+	transfers map[string]*runningTransfer
 
 	mu     sync.Mutex
 	target target
 	loaded target
-	state  string // For people.
+	state  string // Shown in the status and the log.
 }
 
-// running is a transfer with the means to end it.
-type running struct {
+// runningTransfer is a transfer with the function that cancels it.
+type runningTransfer struct {
 	*weights.Transfer
 	cancel context.CancelFunc
 }
 
-// target is what a box should serve.
+// target describes what a box is to serve.
 type target struct {
 	Service  string            `json:"service"`
 	Kind     string            `json:"kind"`
@@ -45,8 +45,9 @@
 	Revision uint64            `json:"revision"`
 }
 
-// same reports whether an engine that serves t also serves o.
-func (t target) same(o target) bool {
+// equivalent reports whether t and o require the same state of the engine. They may be
+// of different revisions.
+func (t target) equivalent(o target) bool {
 	return t.Service == o.Service && t.Digest == o.Digest && t.Role == o.Role && maps.Equal(t.Adapters, o.Adapters)
 }
 
@@ -57,7 +58,8 @@
 	return append([]string{t.Digest}, slices.Sorted(maps.Values(t.Adapters))...)
 }
 
-func wanted(v *view.View, box string) target {
+// targetOf returns the target of a box according to a view.
+func targetOf(v *view.View, box string) target {
 	if v.Config == nil {
 		return target{}
 	}
@@ -72,26 +74,26 @@
 	}
 }
 
-// Waits of the loader.
+// Intervals and time-outs of the loader.
 const (
-	loaderLook  = 250 * time.Millisecond // Between looks while something is under way.
-	checkEngine = 2 * time.Second        // Between checks that the engine still has what it confirmed.
-	orderWithin = 2 * time.Minute
+	loaderInterval      = 250 * time.Millisecond // Between steps while the target is not reached.
+	engineCheckInterval = 2 * time.Second        // Between checks of the engine's state.
+	orderTimeout        = 2 * time.Minute
 )
 
 func (l *loader) run(ctx context.Context) error {
-	l.transfers = map[string]*running{}
+	l.transfers = map[string]*runningTransfer{}
 	nextCheck := time.Now()
 	for {
 		v, changed := l.agent.holder.Watch()
-		t := wanted(v, l.agent.Settings.Box)
-		l.note(t)
-		l.fetch(ctx, t)
-		wait := checkEngine
-		if !l.step(ctx, v, t) {
-			wait = loaderLook
+		t := targetOf(v, l.agent.Settings.Box)
+		l.setTarget(t)
+		l.syncTransfers(ctx, t)
+		wait := engineCheckInterval
+		if !l.advance(ctx, v, t) {
+			wait = loaderInterval
 		} else if now := time.Now(); now.After(nextCheck) {
-			nextCheck = now.Add(checkEngine)
+			nextCheck = now.Add(engineCheckInterval)
 			l.verify(ctx, t)
 		}
 		timer := time.NewTimer(wait)
@@ -106,13 +108,13 @@
 	}
 }
 
-func (l *loader) note(t target) {
+func (l *loader) setTarget(t target) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.target = t
 }
 
-func (l *loader) say(state string) {
+func (l *loader) setState(state string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state != state {
@@ -121,18 +123,18 @@
 	}
 }
 
-// fetch starts the transfers that t needs and ends those that it does not. What
-// an ended one had stays in the store until room is needed.
-func (l *loader) fetch(ctx context.Context, t target) {
-	need := map[string]bool{}
+// syncTransfers starts the transfers that t needs and cancels all others. The chunks
+// of a cancelled transfer stay in the store until it needs the room.
+func (l *loader) syncTransfers(ctx context.Context, t target) {
+	needed := map[string]bool{}
 	for _, digest := range t.artifacts() {
-		need[digest] = true
+		needed[digest] = true
 		if l.transfers[digest] == nil {
-			l.transfers[digest] = l.start(ctx, digest)
+			l.transfers[digest] = l.startTransfer(ctx, digest)
 		}
 	}
 	for digest, r := range l.transfers {
-		if !need[digest] {
+		if !needed[digest] {
 			r.cancel()
 			l.agent.exchange.Store.Unpin(digest)
 			delete(l.transfers, digest)
@@ -140,11 +142,11 @@
 	}
 }
 
-func (l *loader) start(ctx context.Context, digest string) *running {
+func (l *loader) startTransfer(ctx context.Context, digest string) *runningTransfer {
 	w := l.agent.holder.Get().Config.Weights
 	l.agent.exchange.SetUploadSlots(w.UploadSlots)
 	ctx, cancel := context.WithCancel(ctx)
-	const firstCopy = 1.1 // A first copy, with what faults may add to it.
+	const firstCopy = 1.1 // One copy, plus an allowance for repeated downloads after faults.
 	t := &weights.Transfer{
 		Exchange: l.agent.exchange, Artifact: digest, Window: w.Window, OriginCopies: w.OriginCopies,
 		Members: func() []weights.Member { return members(l.agent.holder.Get(), digest) },
@@ -157,46 +159,46 @@
 			telemetry.LogError(err, "transfer_failed", "artifact", digest)
 		}
 	}()
-	return &running{t, cancel}
+	return &runningTransfer{t, cancel}
 }
 
-// members returns the boxes that want an artifact by a view.
+// members returns the live boxes whose targets in a view contain an artifact.
 func members(v *view.View, digest string) []weights.Member {
 	var out []weights.Member
 	for _, b := range fleet.Live(v.Boxes) {
-		if slices.Contains(wanted(v, b.Name).artifacts(), digest) {
+		if slices.Contains(targetOf(v, b.Name).artifacts(), digest) {
 			out = append(out, weights.Member{Name: b.Name, Hall: b.Hall, Addr: b.Addr})
 		}
 	}
 	return out
 }
 
-// step goes as far towards t as it can now, and reports whether it is there.
-func (l *loader) step(ctx context.Context, v *view.View, t target) bool {
+// advance performs the next step towards t, and reports whether t is reached.
+func (l *loader) advance(ctx context.Context, v *view.View, t target) bool {
 	switch {
 	case t.Service == "":
 		l.agent.gate.Close()
 		l.setLoaded(target{})
-		l.say("not_placed")
+		l.setState("not_placed")
 		return true
 	case t.Kind == config.KindPlain:
-		if !l.loadedNow().same(t) {
+		if !l.loadedTarget().equivalent(t) {
 			l.open(t)
 		}
 		return true
-	case l.loadedNow().same(t):
+	case l.loadedTarget().equivalent(t):
 		return true
-	case !l.complete(t):
-		l.say("fetching")
+	case !l.transfersComplete(t):
+		l.setState("fetching")
 		return false
 	case !l.mayReload(ctx, v, t):
-		l.say("waiting_for_turn")
+		l.setState("waiting_for_turn")
 		return false
 	}
 	return l.reload(ctx, t)
 }
 
-func (l *loader) loadedNow() target {
+func (l *loader) loadedTarget() target {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.loaded
@@ -206,16 +208,16 @@
 	l.mu.Lock()
 	l.loaded = t
 	l.mu.Unlock()
-	l.agent.changed.notify()
+	l.agent.reportChanged.notify()
 }
 
 func (l *loader) open(t target) {
 	l.agent.gate.Open(t.Service, t.Digest)
 	l.setLoaded(t)
-	l.say("serving")
+	l.setState("serving")
 }
 
-func (l *loader) complete(t target) bool {
+func (l *loader) transfersComplete(t target) bool {
 	for _, digest := range t.artifacts() {
 		select {
 		case <-l.transfers[digest].Complete():
@@ -226,16 +228,18 @@
 	return true
 }
 
-// mayReload keeps the replicas of a hall that change at once to the bound: in
-// the placement's order, fewer than that many before this one may not yet serve
-// what is wanted. A box that serves nothing takes nothing away, so it need not
-// wait; one that cannot be reached is out in any case.
+// mayReload reports whether this box may reload now. It keeps the number of replicas
+// of a hall that reload concurrently within ReloadAtMost: it counts the replicas of
+// the hall that precede this one in the placement's order and do not serve the target
+// yet, and their number must be below that bound. A box that serves nothing does not
+// wait, since its reload removes no capacity. A replica that cannot be reached is not
+// counted, since it does not serve in any case.
 func (l *loader) mayReload(ctx context.Context, v *view.View, t target) bool {
-	if l.loadedNow().Service == "" {
+	if l.loadedTarget().Service == "" {
 		return true
 	}
-	bound := v.Config.Services[t.Service].ReloadAtMost
-	behind := 0
+	maxReloading := v.Config.Services[t.Service].ReloadAtMost
+	notServing := 0
 	for _, name := range v.Placement.ByService[t.Service] {
 		b := v.Boxes[name]
 		if b.Hall != l.agent.Settings.Hall {
@@ -244,22 +248,22 @@
 		if name == l.agent.Settings.Box {
 			return true
 		}
-		r, err := l.agent.stateOf(ctx, b.Addr)
+		r, err := l.agent.requestReport(ctx, b.Addr)
 		if err == nil && (r.Digest != t.Digest || !r.Ready) && !r.Draining {
-			behind++
+			notServing++
 		}
-		if behind >= bound {
+		if notServing >= maxReloading {
 			return false
 		}
 	}
 	return true
 }
 
-func (a *Agent) stateOf(ctx context.Context, addr string) (*dispatch.Report, error) {
-	const within = time.Second
-	ctx, cancel := context.WithTimeout(ctx, within)
+func (a *Agent) requestReport(ctx context.Context, addr string) (*dispatch.Report, error) {
+	const timeout = time.Second
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	c, err := a.requests.Get(ctx, addr)
+	c, err := a.peerPool.Get(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -274,23 +278,24 @@
 	return r, nil
 }
 
-// reload shuts the gate, waits for what runs on the old version, has the engine
-// load the new one, and opens the gate once the engine confirmed that digest.
+// reload closes the gate, waits for the requests that run on the old version, orders
+// the engine to load the new one, and opens the gate after the engine has confirmed
+// the new digest.
 func (l *loader) reload(ctx context.Context, t target) bool {
 	a := l.agent
-	l.say("reloading")
+	l.setState("reloading")
 	a.gate.Close()
-	a.changed.notify()
-	const look = 5 * time.Millisecond
+	a.reportChanged.notify()
+	const pollInterval = 5 * time.Millisecond
 	for !a.gate.Idle() {
-		time.Sleep(look)
+		time.Sleep(pollInterval)
 		if ctx.Err() != nil {
 			return false
 		}
 	}
-	octx, cancel := context.WithTimeout(ctx, orderWithin)
+	orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	s, err := a.engine.Order(octx, engine.Order{
+	s, err := a.engine.Order(orderCtx, engine.Order{
 		Kind: engine.OrderLoad, Fence: engine.Fence{Revision: t.Revision, Incarnation: a.gate.Incarnation},
 		Digest: t.Digest, Adapters: t.Adapters, Role: t.Role, Source: "http://" + a.Settings.Source,
 	})
@@ -298,7 +303,7 @@
 		a.Metrics.Failed("load_failed", err)
 		telemetry.LogError(err, "load_failed", "digest", t.Digest)
 		l.setLoaded(target{})
-		l.say("load_failed")
+		l.setState("load_failed")
 		return false
 	}
 	l.open(t)
@@ -309,21 +314,21 @@
 	return s.Digest == t.Digest && s.Role == t.Role && maps.Equal(s.Adapters, t.Adapters)
 }
 
-// verify asks the engine whether it still has what it confirmed. An engine that
-// was restarted, or took an order from someone else, takes no more requests
-// until it is loaded anew.
+// verify checks that the engine is still in the state that it confirmed. An engine that
+// was restarted, or that executed an order from another process, receives no more
+// requests until it has reloaded.
 func (l *loader) verify(ctx context.Context, t target) {
 	if t.Kind == config.KindPlain || t.Service == "" {
 		return
 	}
-	cctx, cancel := context.WithTimeout(ctx, checkEngine)
+	checkCtx, cancel := context.WithTimeout(ctx, engineCheckInterval)
 	defer cancel()
-	s, err := l.agent.engine.State(cctx)
+	s, err := l.agent.engine.State(checkCtx)
 	if err == nil && confirms(s, t) {
 		return
 	}
 	l.agent.Metrics.Failed("engine_changed", err)
 	l.agent.gate.Close()
 	l.setLoaded(target{})
-	l.say("engine_changed")
+	l.setState("engine_changed")
 }
--- a/internal/agent/notifier.go
+++ b/internal/agent/notifier.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// notifier wakes all that wait on it. The zero value is ready for use.
+// notifier wakes all goroutines that wait on it. The zero value is ready for use.
 type notifier struct {
 	mu sync.Mutex
 	ch chan struct{}
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -15,18 +15,18 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Bounds of an answer.
+// Limits of an answer.
 const (
-	maxEvent   = 1 << 20 // Bytes of one event of a stream.
-	maxAnswer  = 16 << 20
-	maxTail    = 4 << 10 // After the last event of a stream.
-	maxResumes = 3       // Times that a cut stream is resumed on the engine.
+	maxEventBytes  = 1 << 20 // Size of one event of a stream.
+	maxAnswerBytes = 16 << 20
+	maxTailBytes   = 4 << 10 // Bytes that are read after the last event of a stream.
+	maxResumes     = 3       // How often an interrupted stream is resumed on the engine.
 )
 
-// endOfStream is the last event of a whole stream, as model callers know it.
+// endOfStream is the last event of a complete stream in the chat completions protocol.
 var endOfStream = []byte("data: [DONE]")
 
-// run takes a record from the queue to its end.
+// run waits until a record leaves the queue, and then executes its request.
 func (a *Agent) run(ctx context.Context, rec *dispatch.Record) {
 	<-rec.Dequeued
 	if rec.Reason != "" {
@@ -40,16 +40,16 @@
 	a.gate.Finish(time.Now(), rec)
 }
 
-func engineID(id dispatch.RequestID) string {
+func engineRequestID(id dispatch.RequestID) string {
 	return fmt.Sprintf("%016x-%d-%d", id.Incarnation, id.Seq, id.Attempt)
 }
 
-// execute runs a request on the engine or plain service of this box. From here
-// on the request may have run, whatever happens.
+// execute runs a request on the engine or plain service of this box. Once it is
+// called, the request may have run, even if it returns an error.
 func (a *Agent) execute(ctx context.Context, rec *dispatch.Record) error {
 	d := rec.Dispatch
 	r := &runner{agent: a, rec: rec}
-	resp, err := r.ask(ctx, 0)
+	resp, err := r.send(ctx, 0)
 	if err != nil {
 		return err
 	}
@@ -57,31 +57,32 @@
 	if d.Digest != "" && resp.StatusCode >= http.StatusInternalServerError {
 		return fault.New(fault.UpstreamFailed, resp.Status)
 	}
-	if err := r.sameVersion(resp); err != nil {
+	if err := r.checkVersion(resp); err != nil {
 		return err
 	}
 	rec.Answer.Begin(&dispatch.AnswerHead{
 		ID: d.ID, Digest: d.Digest, Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"),
 	})
 	if d.Stream && resp.StatusCode == http.StatusOK {
-		return r.stream(ctx, resp)
+		return r.readStream(ctx, resp)
 	}
-	return r.whole(resp)
+	return r.readBody(resp)
 }
 
-// runner holds one request while it runs.
+// runner is the state of one request while it runs.
 type runner struct {
 	agent  *Agent
 	rec    *dispatch.Record
-	events int // Events of a stream that were passed on.
+	events int // Events of a stream that were appended to the answer.
 }
 
-// ask sends the request, or asks to resume it from an event on.
-func (r *runner) ask(ctx context.Context, from int) (*http.Response, error) {
+// send sends the request to the engine. If from is positive, it requests that the
+// stream be resumed from that event.
+func (r *runner) send(ctx context.Context, from int) (*http.Response, error) {
 	d := r.rec.Dispatch
 	h := http.Header{}
 	h.Set("Content-Type", d.ContentType)
-	h.Set(engine.HeaderRequest, engineID(d.ID))
+	h.Set(engine.HeaderRequest, engineRequestID(d.ID))
 	if d.Adapter != "" {
 		h.Set(engine.HeaderAdapter, d.Adapter)
 	}
@@ -91,8 +92,9 @@
 	return r.agent.engine.Run(ctx, d.Method, d.Path, d.Body, h)
 }
 
-// sameVersion refuses an answer of any version but the one dispatched for.
-func (r *runner) sameVersion(resp *http.Response) error {
+// checkVersion returns an error if the answer is from another version than that of the
+// dispatch.
+func (r *runner) checkVersion(resp *http.Response) error {
 	d := r.rec.Dispatch
 	if d.Digest == "" || resp.StatusCode != http.StatusOK || resp.Header.Get(engine.HeaderDigest) == d.Digest {
 		return nil
@@ -100,17 +102,17 @@
 	return fault.New(fault.MixedVersion, resp.Header.Get(engine.HeaderDigest))
 }
 
-func (r *runner) whole(resp *http.Response) error {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+func (r *runner) readBody(resp *http.Response) error {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return fault.Wrap(fault.Truncated, err, "")
 	}
-	if len(data) > maxAnswer {
+	if len(data) > maxAnswerBytes {
 		return fault.New(fault.TooLarge, "answer")
 	}
-	const part = 256 << 10
+	const partBytes = 256 << 10
 	for len(data) > 0 {
-		n := min(part, len(data))
+		n := min(partBytes, len(data))
 		r.rec.Answer.Append(data[:n])
 		data = data[n:]
 	}
@@ -118,52 +120,53 @@
 	return nil
 }
 
-// stream passes events on, and resumes the stream where it was cut.
-func (r *runner) stream(ctx context.Context, resp *http.Response) error {
+// readStream appends the events of a stream to the answer, and resumes the stream where
+// it was interrupted.
+func (r *runner) readStream(ctx context.Context, resp *http.Response) error {
 	for resumes := 0; ; resumes++ {
 		err := r.readEvents(resp.Body)
 		if err == nil {
 			r.rec.Answer.End()
-			finishBody(resp.Body)
+			drainBody(resp.Body)
 			return nil
 		}
 		_ = resp.Body.Close()
 		if ctx.Err() != nil {
-			r.agent.abandon(r.rec.Dispatch)
+			r.agent.cancelOnEngine(r.rec.Dispatch)
 			return fault.Wrap(fault.Timeout, ctx.Err(), "")
 		}
 		if resumes >= maxResumes || r.events == 0 {
 			return fault.Wrap(fault.Truncated, err, "")
 		}
 		r.agent.Metrics.Event("stream_resumed", "")
-		if resp, err = r.ask(ctx, r.events); err != nil {
+		if resp, err = r.send(ctx, r.events); err != nil {
 			return err
 		}
 		if resp.StatusCode != http.StatusOK {
 			_ = resp.Body.Close()
 			return fault.New(fault.Truncated, "resume: "+resp.Status)
 		}
-		if err := r.sameVersion(resp); err != nil {
+		if err := r.checkVersion(resp); err != nil {
 			_ = resp.Body.Close()
 			return err
 		}
 	}
 }
 
-// finishBody reads to the end of a body whose last event was seen, so that its
-// connection can be used again, but does not wait for an engine that holds it.
-func finishBody(body io.ReadCloser) {
-	const within = 50 * time.Millisecond
-	closed := time.AfterFunc(within, func() { _ = body.Close() })
+// drainBody reads a body to its end after its last event, so that the connection can be
+// reused. It waits at most 50 ms for an engine that keeps the body open.
+func drainBody(body io.ReadCloser) {
+	const timeout = 50 * time.Millisecond
+	closed := time.AfterFunc(timeout, func() { _ = body.Close() })
 	defer closed.Stop()
-	_, _ = io.CopyN(io.Discard, body, maxTail)
+	_, _ = io.CopyN(io.Discard, body, maxTailBytes)
 	_ = body.Close()
 }
 
-// readEvents passes on whole events until the last one of the stream.
+// readEvents appends complete events to the answer up to the last event of the stream.
 func (r *runner) readEvents(body io.Reader) error {
 	sc := bufio.NewScanner(body)
-	sc.Buffer(make([]byte, 0, 4<<10), maxEvent)
+	sc.Buffer(make([]byte, 0, 4<<10), maxEventBytes)
 	sc.Split(splitEvents)
 	for sc.Scan() {
 		event := bytes.Clone(sc.Bytes())
@@ -179,7 +182,8 @@
 	return fault.New(fault.Truncated, "no last event")
 }
 
-// splitEvents cuts at empty lines. A last event that has no end is not one.
+// splitEvents is a bufio.SplitFunc that splits at empty lines. It drops an event at the
+// end of the input that no empty line follows.
 func splitEvents(data []byte, _ bool) (int, []byte, error) {
 	if i := bytes.Index(data, []byte("\n\n")); i >= 0 {
 		return i + 2, data[:i], nil
@@ -187,12 +191,12 @@
 	return 0, nil, nil
 }
 
-// abandon tells the engine that nobody waits any more.
-func (a *Agent) abandon(d *dispatch.Dispatch) {
-	const within = time.Second
-	ctx, cancel := context.WithTimeout(a.life, within)
+// cancelOnEngine cancels a request on the engine because no process waits for its answer.
+func (a *Agent) cancelOnEngine(d *dispatch.Dispatch) {
+	const timeout = time.Second
+	ctx, cancel := context.WithTimeout(a.lifetime, timeout)
 	defer cancel()
 	if d.Digest != "" {
-		a.engine.Cancel(ctx, engineID(d.ID))
+		a.engine.Cancel(ctx, engineRequestID(d.ID))
 	}
 }
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -11,7 +11,7 @@
 	"github.com/poststand/poststand/wire"
 )
 
-func (a *Agent) serve(hs *wire.Handlers) {
+func (a *Agent) registerHandlers(hs *wire.Handlers) {
 	wire.On(hs, a.serveDispatch)
 	wire.On(hs, a.serveVoid)
 	wire.On(hs, a.serveAttach)
@@ -20,7 +20,7 @@
 }
 
 func (a *Agent) serveDispatch(ctx context.Context, s *wire.Stream, d *dispatch.Dispatch) {
-	rec, repeat, err := a.gate.Admit(time.Now(), d, a.homes.of(a.Settings.Box, d, a.holder.Get()))
+	rec, repeat, err := a.gate.Admit(time.Now(), d, a.homes.keyHome(a.Settings.Box, d, a.holder.Get()))
 	if err != nil {
 		a.refuse(ctx, s, d.ID, err)
 		return
@@ -30,20 +30,21 @@
 		a.follow(ctx, s, d.ID, rec, 0)
 		return
 	}
-	run, cancel := context.WithDeadline(a.life, d.Deadline)
+	runCtx, cancel := context.WithDeadline(a.lifetime, d.Deadline)
 	go func() {
 		defer cancel()
-		a.run(run, rec)
+		a.run(runCtx, rec)
 	}()
 	a.follow(ctx, s, d.ID, rec, 0)
-	// A caller that went away frees the engine, if nobody could ask again. A
-	// connection that was lost does not: its gateway may come back for the rest.
+	// A cancelled request releases the engine, unless it is unsafe or another dispatch with
+	// its key could follow the answer. A lost connection does not: its gateway may attach
+	// for the rest of the answer.
 	if fault.Is(context.Cause(ctx), fault.Cancelled) && !d.Unsafe && d.Key == "" {
 		cancel()
 	}
 }
 
-// follow sends the answer of a record as it grows.
+// follow sends the answer of a record from a part on, as it arrives.
 func (a *Agent) follow(ctx context.Context, s *wire.Stream, id dispatch.RequestID, rec *dispatch.Record, from int) {
 	select {
 	case <-rec.Dequeued:
@@ -94,17 +95,17 @@
 	a.follow(ctx, s, m.ID, rec, m.From)
 }
 
-// serveSubscribe reports to a gateway: at once when something that matters for
-// routing changes, and else as often as the control budget allows.
+// serveSubscribe sends reports to a gateway: immediately after a change that affects
+// routing, and otherwise at the report interval.
 func (a *Agent) serveSubscribe(ctx context.Context, s *wire.Stream, m *dispatch.Subscribe) {
 	telemetry.Log("subscribed", "gateway", m.Box)
 	for {
-		changed := a.changed.wait()
+		changed := a.reportChanged.wait()
 		r := a.gate.Report(time.Now())
 		if s.Send(ctx, &r) != nil {
 			return
 		}
-		timer := time.NewTimer(reportEvery(len(a.holder.Get().Boxes)))
+		timer := time.NewTimer(reportInterval(len(a.holder.Get().Boxes)))
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -117,11 +118,12 @@
 	}
 }
 
-// reportEvery grows with the fleet, so that what a gateway hears from all the
-// agents of its hall stays within its control budget.
-func reportEvery(boxes int) time.Duration {
-	const least, most, perBox = 500 * time.Millisecond, 20 * time.Second, 2 * time.Millisecond
-	return min(most, max(least, time.Duration(boxes)*perBox))
+// reportInterval returns the time between reports. It grows with the size of the fleet,
+// so that the reports that a gateway receives from all agents of its hall stay
+// within its budget for control traffic.
+func reportInterval(boxes int) time.Duration {
+	const minInterval, maxInterval, perBox = 500 * time.Millisecond, 20 * time.Second, 2 * time.Millisecond
+	return min(maxInterval, max(minInterval, time.Duration(boxes)*perBox))
 }
 
 func (a *Agent) serveStateRequest(ctx context.Context, s *wire.Stream, _ *dispatch.StateRequest) {
--- a/internal/agent/source.go
+++ b/internal/agent/source.go
@@ -7,7 +7,8 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// Source lets the engine of this box pull the weights that are here.
+// Source returns the HTTP handler from which the engine of this box pulls manifests and
+// chunks that the box holds.
 func (a *Agent) Source() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /blobs/{digest}", func(w http.ResponseWriter, r *http.Request) {
@@ -21,41 +22,41 @@
 	return mux
 }
 
-// movedBytes counts weights by where they came from.
-type movedBytes struct {
-	mu    sync.Mutex
-	kinds map[weights.EventKind]moved
+// eventCounts counts transfer events and their bytes by kind.
+type eventCounts struct {
+	mu     sync.Mutex
+	byKind map[weights.EventKind]eventCount
 }
 
-type moved struct {
+type eventCount struct {
 	Count int `json:"count"`
 	Bytes int `json:"bytes"`
 }
 
-func (m *movedBytes) add(e weights.Event) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.kinds == nil {
-		m.kinds = map[weights.EventKind]moved{}
+func (ec *eventCounts) add(e weights.Event) {
+	ec.mu.Lock()
+	defer ec.mu.Unlock()
+	if ec.byKind == nil {
+		ec.byKind = map[weights.EventKind]eventCount{}
 	}
-	k := m.kinds[e.Kind]
-	k.Count++
-	k.Bytes += e.Bytes
-	m.kinds[e.Kind] = k
+	c := ec.byKind[e.Kind]
+	c.Count++
+	c.Bytes += e.Bytes
+	ec.byKind[e.Kind] = c
 }
 
-func (m *movedBytes) snapshot() map[weights.EventKind]moved {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	out := map[weights.EventKind]moved{}
-	for k, v := range m.kinds {
+func (ec *eventCounts) snapshot() map[weights.EventKind]eventCount {
+	ec.mu.Lock()
+	defer ec.mu.Unlock()
+	out := map[weights.EventKind]eventCount{}
+	for k, v := range ec.byKind {
 		out[k] = v
 	}
 	return out
 }
 
 func (a *Agent) weightsEvent(e weights.Event) {
-	a.moved.add(e)
+	a.weightsEvents.add(e)
 	a.Metrics.Event("weights_"+string(e.Kind), "")
 	if e.Bytes > 0 {
 		a.Metrics.Bytes("weights_"+string(e.Kind), e.Bytes)
