--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,6 +1,10 @@
-// Package engine speaks to the model engine of a box: orders, state, weights
-// and requests. The agent of the box is the only one to give orders; an order
-// carries a fence, and an engine that checks orders refuses an older one.
+// Package engine implements the protocol between the agent of a box and its model
+// engine: orders, state, requests and weights.
+//
+// A Client sends orders and requests to an engine and reads its State. Only the
+// agent of the box sends orders. Each Order carries a Fence, and an engine that
+// checks fences refuses an order that is older than its last one. An engine pulls
+// weights from the source that the order names, with Pull.
 package engine
 
 import (
@@ -15,16 +19,17 @@
 
 // Headers between agent and engine.
 const (
-	HeaderRequest = "X-Engine-Request" // The id to cancel or resume by.
+	HeaderRequest = "X-Engine-Request" // ID by which the request is cancelled or resumed.
 	HeaderAdapter = "X-Engine-Adapter"
-	HeaderResume  = "X-Engine-Resume-From" // The first event that is missing.
-	HeaderDigest  = "X-Engine-Digest"      // The version that answers.
+	HeaderResume  = "X-Engine-Resume-From" // Number of the first event that is missing.
+	HeaderDigest  = "X-Engine-Digest"      // Digest of the version that answers.
 )
 
-// Fence orders the orders: by revision, then by the agent's start.
+// Fence determines which of two orders is newer: first by the incarnation of the agent,
+// then by the revision of the configuration.
 type Fence struct {
 	Revision    uint64 `json:"revision"`
-	Incarnation uint64 `json:"incarnation"` // Rises with each start of an agent.
+	Incarnation uint64 `json:"incarnation"` // Increases with each start of the agent.
 }
 
 // Before reports whether f is older than g.
@@ -35,7 +40,7 @@
 	return f.Revision < g.Revision
 }
 
-// OrderKind is what an order asks.
+// OrderKind is the kind of an order.
 type OrderKind string
 
 // Kinds of orders.
@@ -45,26 +50,26 @@
 	OrderRole   OrderKind = "role"
 )
 
-// Order tells an engine what to load or to be.
+// Order instructs an engine to load or unload a version, or to change its role.
 type Order struct {
 	Kind     OrderKind         `json:"kind"`
 	Fence    Fence             `json:"fence"`
 	Digest   string            `json:"digest,omitempty"`
 	Adapters map[string]string `json:"adapters,omitempty"` // Digests by name.
 	Role     string            `json:"role,omitempty"`
-	Source   string            `json:"source,omitempty"` // Where the engine pulls weights from.
+	Source   string            `json:"source,omitempty"` // URL from which the engine pulls weights.
 }
 
-// State is what an engine says of itself.
+// State is the state that an engine reports.
 type State struct {
-	Digest   string            `json:"digest"` // The version that is loaded, or empty.
+	Digest   string            `json:"digest"` // Digest of the loaded version, or empty.
 	Adapters map[string]string `json:"adapters"`
 	Role     string            `json:"role"`
 	Fence    Fence             `json:"fence"`
-	Running  int               `json:"running"` // Lags.
+	Running  int               `json:"running"` // Requests in progress; may be out of date.
 }
 
-// Client speaks to one engine.
+// Client is a client of one engine.
 type Client struct {
 	URL  string
 	HTTP *http.Client
@@ -77,7 +82,7 @@
 	return c.HTTP
 }
 
-// Order gives an order and returns the engine's state after it.
+// Order sends an order and returns the state of the engine after it.
 func (c *Client) Order(ctx context.Context, o Order) (*State, error) {
 	b, err := json.Marshal(o)
 	if err != nil {
@@ -86,7 +91,7 @@
 	return c.state(ctx, http.MethodPost, "/orders", b)
 }
 
-// State asks the engine how it stands.
+// State returns the current state of the engine.
 func (c *Client) State(ctx context.Context) (*State, error) {
 	return c.state(ctx, http.MethodGet, "/state", nil)
 }
@@ -128,12 +133,12 @@
 }
 
 // Run sends a request to the engine or plain service. Once it is called, the
-// request may have run, whatever it returns.
+// request may have run, even if it returns an error.
 func (c *Client) Run(ctx context.Context, method, path string, body []byte, header http.Header) (*http.Response, error) {
 	return c.do(ctx, method, path, body, header)
 }
 
-// Cancel tells the engine that nobody waits for a request any more.
+// Cancel cancels a request for whose answer no process waits any more. It ignores errors.
 func (c *Client) Cancel(ctx context.Context, id string) {
 	resp, err := c.do(ctx, http.MethodPost, "/cancel/"+id, nil, nil)
 	if err == nil {
@@ -141,7 +146,7 @@
 	}
 }
 
-// Pull fetches a manifest or chunk from an order's source, for engines.
+// Pull downloads a manifest or chunk from the source of an order. Engines use it.
 func Pull(c *http.Client, source, digest string) ([]byte, error) {
 	if c == nil {
 		c = http.DefaultClient
