--- a/fault/fault.go
+++ b/fault/fault.go
@@ -7,25 +7,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// Code names one kind of failure. The zero value is no failure.
+// Code identifies one kind of error. The zero value means no error.
 type Code string
 
-// Codes of transport failures.
+// Codes of transport errors.
 const (
-	Garbage       Code = "garbage"                  // Bytes that are not a frame of ours.
-	TooLarge      Code = "too_large"                // A frame, body or document over its bound.
-	OldProtocol   Code = "old_protocol"             // The peer speaks an unsupported version.
+	Garbage       Code = "garbage"                  // Bytes that are not a valid frame or message.
+	TooLarge      Code = "too_large"                // A frame, body or document exceeds its size limit.
+	OldProtocol   Code = "old_protocol"             // The peer uses an unsupported protocol version.
 	OtherFleet    Code = "other_cluster"            // The peer belongs to another cluster.
 	Closed        Code = "connection_lost"          // The connection ended.
 	Stalled       Code = "link_stalled"             // Nothing arrived before the deadline.
-	UnknownStream Code = "frame_for_unknown_stream" // Dropped: its stream is over.
-	Overflow      Code = "stream_overflow"          // The reader of a stream did not keep up.
+	UnknownStream Code = "frame_for_unknown_stream" // A frame was dropped because its stream has ended.
+	Overflow      Code = "stream_overflow"          // The reader of a stream was too slow and its buffer filled up.
 	Busy          Code = "busy"                     // A bounded table or queue is full.
-	Unsupported   Code = "unsupported"              // No handler for this message.
+	Unsupported   Code = "unsupported"              // There is no handler for this message.
 	Unreachable   Code = "unreachable"              // Dialling failed.
-	Cancelled     Code = "cancelled"                // The caller gave up.
-	Internal      Code = "internal"                 // A broken invariant; never expected.
-	BadRequest    Code = "bad_request"              // A malformed request of a caller.
+	Cancelled     Code = "cancelled"                // The caller cancelled the request.
+	Internal      Code = "internal"                 // An invariant was violated.
+	BadRequest    Code = "bad_request"              // The request of a caller is malformed.
 	Timeout       Code = "deadline_exceeded"        // The deadline passed.
 )
 
@@ -34,9 +34,9 @@
 	NoService        Code = "no_such_service"
 	UnknownKey       Code = "unknown_key"
 	NoUpstream       Code = "no_upstream_ready"
-	UpstreamLeaving  Code = "upstream_leaving" // It said that it leaves, or is gone, before the request was sent.
-	UpstreamResting  Code = "upstream_resting" // It has asked for rest.
-	UpstreamLimited  Code = "upstream_limited" // The limit that it names leaves no permit.
+	UpstreamLeaving  Code = "upstream_leaving" // It announced that it is leaving, or was removed, before the request was sent.
+	UpstreamResting  Code = "upstream_resting" // It asked for backoff.
+	UpstreamLimited  Code = "upstream_limited" // No permit is left under the rate limit that it set.
 	QueueFull        Code = "queue_full"
 	RateLimited      Code = "rate_limited"
 	Draining         Code = "draining"
@@ -57,12 +57,12 @@
 	UpstreamFailed   Code = "upstream_failed"
 	MixedVersion     Code = "mixed_version"
 	Truncated        Code = "answer_truncated"
-	Moved            Code = "moved" // A stream that went on elsewhere, since its replica changes.
+	Moved            Code = "moved" // The stream continues on another replica because its replica changes version.
 	OutcomeUnknown   Code = "outcome_unknown"
-	Quarantined      Code = "request_quarantined" // Replicas ended each time that they ran the request.
+	Quarantined      Code = "request_quarantined" // Replicas terminated each time that they ran the request.
 )
 
-// Codes of failures with weights and configuration.
+// Codes of errors about weights and configuration.
 const (
 	Corrupt        Code = "chunk_corrupt"
 	NotHeld        Code = "chunk_not_held"
@@ -72,15 +72,16 @@
 	OlderRevision  Code = "older_revision"
 	DigestMismatch Code = "digest_mismatch"
 	FencedOrder    Code = "order_fenced"
-	HistoryGone    Code = "history_gone" // The platform has forgotten the changes that were asked for.
+	HistoryGone    Code = "history_gone" // The platform no longer keeps the requested changes.
 )
 
-// Error is a failure with its type.
+// Error is an error with a code.
 type Error struct {
 	Code   Code
-	Detail string // For people; never parsed.
+	Detail string // Human-readable; never parsed.
 	Err    error  // The cause, or nil.
-	// RetryAt is until when who failed asked to be left alone; zero if it did not.
+	// RetryAt is the earliest time for a retry that the failing side asked for; zero if
+	// it asked for none.
 	RetryAt time.Time
 }
 
@@ -99,19 +100,19 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// New returns a failure of the given type.
+// New returns an error with the given code.
 func New(c Code, detail string) error {
 	return &Error{Code: c, Detail: detail}
 }
 
-// Wrap returns a failure of the given type with its cause. The stack of the
-// cause is kept by eris for logs at high verbosity.
+// Wrap returns an error with the given code and cause. eris keeps the stack trace of the
+// cause for logs at high verbosity.
 func Wrap(c Code, err error, detail string) error {
 	return &Error{Code: c, Detail: detail, Err: eris.Wrap(err, string(c))}
 }
 
-// CodeOf returns the type of err, Internal for an error that has none, and
-// the empty code for nil.
+// CodeOf returns the code of err, Internal for an error without a code, and the empty
+// code for nil.
 func CodeOf(err error) Code {
 	if err == nil {
 		return ""
@@ -123,7 +124,8 @@
 	return Internal
 }
 
-// RetryAt returns until when who failed asked to be left alone, or zero.
+// RetryAt returns the earliest time for a retry that the failing side asked for, or the
+// zero time.
 func RetryAt(err error) time.Time {
 	var e *Error
 	if errors.As(err, &e) {
@@ -132,5 +134,5 @@
 	return time.Time{}
 }
 
-// Is reports whether err is a failure of type c.
+// Is reports whether err has code c.
 func Is(err error, c Code) bool { return CodeOf(err) == c }
--- a/kernel/duty.go
+++ b/kernel/duty.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d, or until ctx ends. It returns at once if d is not positive.
+// Sleep waits for d or until ctx is cancelled. It returns at once if d is not positive.
 func Sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -18,38 +18,39 @@
 	}
 }
 
-// WorkerSet runs a goroutine for each member of a set that changes. The zero value runs
-// none. It is not safe for concurrent use.
+// WorkerSet runs one goroutine for each member of a changing set. The zero value has no
+// members. It is not safe for concurrent use.
 type WorkerSet[K comparable] struct {
-	open map[K]context.CancelFunc
+	cancels map[K]context.CancelFunc
 }
 
-// Sync starts run for members that are new, and ends it for those that are gone.
-func (e *WorkerSet[K]) Sync(ctx context.Context, members []K, run func(ctx context.Context, member K)) {
-	if e.open == nil {
-		e.open = map[K]context.CancelFunc{}
+// Sync starts run for each new member and cancels the context of each member that is no
+// longer listed.
+func (s *WorkerSet[K]) Sync(ctx context.Context, members []K, run func(ctx context.Context, member K)) {
+	if s.cancels == nil {
+		s.cancels = map[K]context.CancelFunc{}
 	}
 	keep := map[K]bool{}
 	for _, m := range members {
 		keep[m] = true
-		if e.open[m] == nil {
-			own, cancel := context.WithCancel(ctx)
-			e.open[m] = cancel
-			go run(own, m)
+		if s.cancels[m] == nil {
+			memberCtx, cancel := context.WithCancel(ctx)
+			s.cancels[m] = cancel
+			go run(memberCtx, m)
 		}
 	}
-	for m, cancel := range e.open {
+	for m, cancel := range s.cancels {
 		if !keep[m] {
 			cancel()
-			delete(e.open, m)
+			delete(s.cancels, m)
 		}
 	}
 }
 
-// Stop ends all.
-func (e *WorkerSet[K]) Stop() {
-	for _, cancel := range e.open {
+// Stop cancels the contexts of all members.
+func (s *WorkerSet[K]) Stop() {
+	for _, cancel := range s.cancels {
 		cancel()
 	}
-	e.open = nil
+	s.cancels = nil
 }
--- a/kernel/kernel.go
+++ b/kernel/kernel.go
@@ -1,9 +1,11 @@
-// Package kernel joins the services of one process.
+// Package kernel runs the services of one process and lets them find each other.
 //
-// A process is a Kernel with services. A service is a value that others find
-// by name, and usually a duty: a function that runs in a goroutine of its own
-// until its context ends. When one duty fails, all are stopped, as oklog/run
-// does it; the process then exits with that failure.
+// A process has one Kernel, to which its services are added. A service is a value
+// that other services find by name with Find. It usually has a task: a function
+// that runs in its own goroutine until its context is cancelled. When one task
+// returns, all others are stopped, as in oklog/run, and Run returns its error.
+//
+// A WorkerSet runs one goroutine for each member of a changing set.
 package kernel
 
 import (
@@ -15,16 +17,16 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Kernel holds services by name. The zero value is ready for use. Services are
+// Kernel holds services by name. The zero value is ready for use. Services must be
 // added before Run and never after it, so lookups need no lock.
 type Kernel struct {
 	services map[string]any
 	group    run.Group
 }
 
-// Add registers a service under a name, with its duty or nil. It panics when the name
-// is taken, since that is an error of the program.
-func (k *Kernel) Add(name string, service any, duty func(ctx context.Context) error) {
+// Add registers a service under a name, with its task or nil. It panics if the name is
+// already registered, since that is a programming error.
+func (k *Kernel) Add(name string, service any, task func(ctx context.Context) error) {
 	if k.services == nil {
 		k.services = map[string]any{}
 	}
@@ -32,23 +34,23 @@
 		panic("kernel: two services named " + name)
 	}
 	k.services[name] = service
-	if duty != nil {
-		k.AddTask(duty)
+	if task != nil {
+		k.AddTask(task)
 	}
 }
 
-// AddTask adds a goroutine that no other service needs to find.
-func (k *Kernel) AddTask(duty func(ctx context.Context) error) {
+// AddTask adds a task without a name, for what no other service needs to find.
+func (k *Kernel) AddTask(task func(ctx context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	k.group.Add(func() error { return duty(ctx) }, func(error) { cancel() })
+	k.group.Add(func() error { return task(ctx) }, func(error) { cancel() })
 }
 
-// Run runs every duty until ctx ends or one of them returns.
+// Run runs every task until ctx is cancelled or one of them returns.
 func (k *Kernel) Run(ctx context.Context) error {
-	k.AddTask(func(own context.Context) error {
+	k.AddTask(func(taskCtx context.Context) error {
 		select {
 		case <-ctx.Done():
-		case <-own.Done():
+		case <-taskCtx.Done():
 		}
 		return nil
 	})
