--- a/config/config.go
+++ b/config/config.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Config is one valid revision, evaluated.
+// Config is one valid revision, merged and with defaults filled in.
 type Config struct {
 	Halls         map[string]Hall         `yaml:"halls"`
 	Models        map[string]Model        `yaml:"models"`
@@ -12,18 +12,18 @@
 	Organisations map[string]Organisation `yaml:"organisations"`
 	Limits        Limits                  `yaml:"limits"`
 	Weights       Weights                 `yaml:"weights"`
-	// Routes, and what below is marked so, come from platforms that publish a
-	// configuration of their own; operators' files do not have them.
+	// Routes and the other fields tagged yaml:"-" come from platforms that publish their
+	// own configuration; operators' files cannot set them.
 	Routes  map[string]Route `yaml:"-"`
 	Callers CallerLimits     `yaml:"-"`
 }
 
-// Hall is a place with boxes of its own.
+// Hall is a site with its own boxes.
 type Hall struct {
 	Region string `yaml:"region"`
 }
 
-// Model is a family of versions and adapters.
+// Model has versions of its weights, and adapters.
 type Model struct {
 	Versions map[string]Artifact `yaml:"versions"`
 	Adapters map[string]Artifact `yaml:"adapters"`
@@ -40,47 +40,48 @@
 	KindPlain = "plain"
 )
 
-// Service is what callers ask for by name.
+// Service is a model or plain service that callers request by name.
 type Service struct {
 	Kind     string         `yaml:"kind"`     // KindModel or KindPlain.
 	Boxes    string         `yaml:"boxes"`    // The class of boxes in the fleet list that may serve it.
-	Replicas map[string]int `yaml:"replicas"` // Boxes for each hall.
+	Replicas map[string]int `yaml:"replicas"` // Number of replicas in each hall.
 	Model    string         `yaml:"model"`
 	Version  string         `yaml:"version"`
 	Adapters []string       `yaml:"adapters"`
-	Role     string         `yaml:"role"` // What the engine is told; "serve" by default.
-	// ReadyBeforeTraffic is how many replicas of a hall must have confirmed a
-	// version before it takes its first request there; at least 1.
+	Role     string         `yaml:"role"` // The role that the engine is ordered to take; "serve" by default.
+	// ReadyBeforeTraffic is how many replicas of a hall must have confirmed a version
+	// before the version gets its first request there; at least 1.
 	ReadyBeforeTraffic int `yaml:"ready_before_traffic"`
-	// ReloadAtMost bounds the replicas of a hall that change version at once.
+	// ReloadAtMost bounds how many replicas of a hall change version at the same time.
 	ReloadAtMost int `yaml:"reload_at_most"`
-	// ChecksOrders says that the engine itself refuses a fenced order.
+	// ChecksOrders reports that the engine itself refuses a fenced order.
 	ChecksOrders bool `yaml:"checks_orders"`
-	// Engine is how fast its replicas work, for services that routes name.
+	// Engine describes the speed of the service's replicas, for services that routes send
+	// requests to.
 	Engine Engine `yaml:"-"`
-	// Origin is the address of the origin of its weights, and OriginRate that
-	// link's bytes a second.
+	// Origin is the address of the origin of the service's weights, and OriginRate the
+	// rate of its link in bytes per second.
 	Origin     string  `yaml:"-"`
 	OriginRate float64 `yaml:"-"`
-	MaxConns   int     `yaml:"-"` // Connections that one replica accepts.
+	MaxConns   int     `yaml:"-"` // Maximum number of connections to one replica.
 }
 
 // Organisation is a customer with its share and limits.
 type Organisation struct {
 	Weight   int      `yaml:"weight"`    // Share of a contended queue; 1 by default.
-	Rate     float64  `yaml:"rate"`      // Requests a second over all gateways; 0 is no limit.
-	InFlight int      `yaml:"in_flight"` // Requests at once over all gateways; 0 is no limit.
-	Keys     []string `yaml:"-"`         // Who shows one of these is the organisation.
-	Rank     int      `yaml:"-"`         // 0 is the most urgent; goes before the route's where Ranked.
+	Rate     float64  `yaml:"rate"`      // Requests per second over all gateways; 0 is no limit.
+	InFlight int      `yaml:"in_flight"` // Concurrent requests over all gateways; 0 is no limit.
+	Keys     []string `yaml:"-"`         // API keys that identify the organisation's requests.
+	Rank     int      `yaml:"-"`         // Priority; 0 is the most urgent. Overrides the route's if Ranked.
 	Ranked   bool     `yaml:"-"`
 }
 
-// Limits bounds what gateways hold.
+// Limits bounds the queues, deadlines and retries of gateways.
 type Limits struct {
 	Queue        int           `yaml:"queue"`         // Requests waiting in a gateway.
-	Deadline     time.Duration `yaml:"deadline"`      // For requests that state none.
-	MaxDeadline  time.Duration `yaml:"max_deadline"`  // No request may state more.
-	RetryPercent int           `yaml:"retry_percent"` // Retries for each hundred requests.
+	Deadline     time.Duration `yaml:"deadline"`      // For requests without a timeout of their own.
+	MaxDeadline  time.Duration `yaml:"max_deadline"`  // The longest timeout that a request may set.
+	RetryPercent int           `yaml:"retry_percent"` // Retries per hundred requests.
 	KeyWindow    time.Duration `yaml:"key_window"`    // How long an idempotency key is remembered.
 }
 
@@ -90,16 +91,16 @@
 	PolicyOriginBytes = "origin-bytes"
 )
 
-// Weights steers the distribution of weights.
+// Weights configures the distribution of weights.
 type Weights struct {
 	Policy       string        `yaml:"policy"`        // PolicyTime or PolicyOriginBytes.
-	Window       time.Duration `yaml:"window"`        // In it the origin's link carries OriginCopies.
-	OriginCopies float64       `yaml:"origin_copies"` // Copies of a model in one window.
-	UploadSlots  int           `yaml:"upload_slots"`  // Chunks that a box sends at once.
-	LinkPercent  int           `yaml:"link_percent"`  // Share of a box's link while it serves traffic.
+	Window       time.Duration `yaml:"window"`        // The time in which the origin's link carries OriginCopies.
+	OriginCopies float64       `yaml:"origin_copies"` // Copies of a model that the origin sends within Window.
+	UploadSlots  int           `yaml:"upload_slots"`  // Concurrent chunk uploads of a box.
+	LinkPercent  int           `yaml:"link_percent"`  // Share of a box's link for weights while it serves traffic.
 }
 
-// Defaults for what a configuration leaves out.
+// Defaults for settings that a configuration omits.
 const (
 	defaultQueue        = 512
 	defaultDeadline     = 30 * time.Second
@@ -112,10 +113,10 @@
 	defaultLinkPercent  = 50
 )
 
-func setDefault[T comparable](v *T, d T) {
+func setDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
-		*v = d
+		*v = def
 	}
 }
 
@@ -143,8 +144,8 @@
 	}
 }
 
-// Wanted returns the manifest digest of the version that s declares, or the
-// empty string for a plain service.
+// Wanted returns the manifest digest of the version that s declares, or the empty string
+// for a plain service.
 func (c *Config) Wanted(s Service) string {
 	return c.Models[s.Model].Versions[s.Version].Manifest
 }
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,16 +1,18 @@
-// Package config holds what operators declare.
+// Package config defines the configuration that operators declare.
 //
-// Operators write a directory of YAML files and publish them as one whole. Each
-// file may hold any of the sections of Config; the files are merged, and a name
-// may stand in only one of them. A Revision is one published whole: a number,
-// and named documents with their digests. Parse validates a whole and either
-// returns a Config or every fault with its file, line and path. It is pure, so
-// every process comes to the same verdict.
+// Operators write a directory of YAML files and publish them together. Each file
+// may hold any of the sections of Config; the files are merged, and a name may be
+// defined in only one of them. A revision is one published set of files: a number,
+// and named documents with their digests, which its Head lists. Parse validates the
+// documents of a revision and returns either a Config or every problem with its
+// file, line and path. It is pure, so every process gets the same result.
 //
-// A Table is a keyed set that knows at which version each entry changed, so
-// that processes can send one another only what differs. Both the heads of
-// revisions and the fleet list travel as Tables.
+// A Table is a keyed set that records at which version each entry changed, so that
+// processes can send one another deltas. Both the heads of revisions and the fleet
+// list are sent as Tables.
 //
-// Place is pure too: from a Config and the live boxes it says which box serves
-// which service. Every process computes it for itself, so nobody is told.
+// Place is pure too: it computes from a Config and the live boxes which box serves
+// which service. Every process computes the Placement itself, so it is never sent.
+//
+// Routing looks up the route of a request and the organisation of an API key.
 package config
--- a/config/place.go
+++ b/config/place.go
@@ -5,32 +5,32 @@
 	"github.com/poststand/poststand/rendezvous"
 )
 
-// Placement says which box serves which service.
+// Placement assigns boxes to services.
 type Placement struct {
-	ByBox     map[string]string   // The service of each box that has one.
+	ByBox     map[string]string   // The service of each box that is assigned to one.
 	ByService map[string][]string // The boxes of each service, by hall and rank.
-	Short     map[string]int      // Replicas of "service/hall" that no box is left for.
+	Short     map[string]int      // Number of replicas without a box, by "service/hall".
 }
 
-// Place decides the placement for a configuration and the boxes of the fleet
-// list. It is pure. Services choose in the order of their names; a box serves
-// at most one. A box that leaves is not placed, so its successor starts to
-// load while the leaving one still finishes what it runs.
+// Place computes the placement for a configuration and the boxes of the fleet list. It is
+// pure. Boxes are assigned to services in the order of the services' names; a box serves
+// at most one. A leaving box is not assigned, so its successor starts to load while the
+// leaving box still finishes its running requests.
 func Place(cfg *Config, boxes map[string]fleet.Box) *Placement {
 	p := &Placement{ByBox: map[string]string{}, ByService: map[string][]string{}, Short: map[string]int{}}
 	free := map[[2]string][]string{}
 	for _, b := range fleet.Live(boxes) {
-		at := [2]string{b.Hall, b.Class}
-		free[at] = append(free[at], b.Name)
+		key := [2]string{b.Hall, b.Class}
+		free[key] = append(free[key], b.Name)
 	}
 	for _, name := range sortedKeys(cfg.Services) {
 		s := cfg.Services[name]
 		for _, hall := range sortedKeys(s.Replicas) {
-			at := [2]string{hall, s.Boxes}
-			ranked := rendezvous.Rank(name, free[at])
+			key := [2]string{hall, s.Boxes}
+			ranked := rendezvous.Rank(name, free[key])
 			n := min(s.Replicas[hall], len(ranked))
-			p.take(name, ranked[:n])
-			free[at] = ranked[n:]
+			p.assign(name, ranked[:n])
+			free[key] = ranked[n:]
 			if short := s.Replicas[hall] - n; short > 0 {
 				p.Short[name+"/"+hall] = short
 			}
@@ -39,7 +39,7 @@
 	return p
 }
 
-func (p *Placement) take(service string, boxes []string) {
+func (p *Placement) assign(service string, boxes []string) {
 	p.ByService[service] = append(p.ByService[service], boxes...)
 	for _, b := range boxes {
 		p.ByBox[b] = service
--- a/config/place_test.go
+++ b/config/place_test.go
@@ -13,8 +13,8 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-// A placement serves as many replicas as are asked for and can be had, uses no
-// box twice, none that leaves, and moves no more than it must when a box goes.
+// Place assigns as many replicas as are configured and live boxes allow, reports the rest
+// as short, and assigns neither a leaving box nor one box to two services.
 func TestPlaceGivesWhatIsAskedFor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := map[string]fleet.Box{}
@@ -66,7 +66,7 @@
 	is.Equal(cfg.Limits.Queue, defaultQueue)
 }
 
-// Whatever the bytes, Parse returns a verdict and does not panic.
+// For any input Parse returns either a configuration or an error, and does not panic.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("halls: {h: {}}\nservices: {s: {kind: plain, boxes: x, replicas: {h: 2}}}\n"))
 	f.Add([]byte("halls: [1, 2]\nlimits: {queue: [}"))
@@ -74,7 +74,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		cfg, err := Parse(map[string][]byte{"a.yaml": data})
 		if (cfg == nil) == (err == nil) {
-			t.Fatal("no verdict")
+			t.Fatal("want either a configuration or an error")
 		}
 	})
 }
--- a/config/route.go
+++ b/config/route.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Kinds of routes, by what of a request may be repeated.
+// Kinds of routes, by whether a request may be retried.
 const (
 	RouteSafe   = "safe"   // May run more than once.
 	RouteUnsafe = "unsafe" // Runs at most once.
-	RouteStream = "stream" // Answered by events; may run again only where Resumable.
+	RouteStream = "stream" // Answered by a stream of events; may run again only if Resumable.
 )
 
-// Route sends the requests of a host below a path to services.
+// Route sends requests for a host and path prefix to services.
 type Route struct {
 	Host      string
-	Prefix    string // Begins and ends with a slash; the longest that fits wins.
+	Prefix    string // Begins and ends with a slash; the longest match wins.
 	Kind      string // RouteSafe, RouteUnsafe or RouteStream.
 	Timeout   time.Duration
-	Aim       time.Duration  // An answer (of a stream: its first event) in it earns its full worth.
-	Gap       time.Duration  // The longest pause between two events that is still in time.
-	Attempts  int            // Upstreams that one request may be sent to.
-	Rank      int            // 0 is the most urgent.
+	Aim       time.Duration  // Target latency: an answer (for a stream, its first event) within it has full value.
+	Gap       time.Duration  // The longest pause between two events of a stream that meets the target.
+	Attempts  int            // Maximum number of attempts for one request.
+	Rank      int            // Priority; 0 is the most urgent.
 	Services  map[string]int // Weights by service.
-	Public    bool           // Needs no key.
-	Resumable bool           // A cut stream may go on at another upstream.
+	Public    bool           // Requests need no API key.
+	Resumable bool           // An interrupted stream may be resumed on another upstream.
 }
 
 // Repeatable reports whether a request of the route may run more than once.
@@ -34,26 +34,26 @@
 	return r.Kind == RouteSafe || r.Kind == RouteStream && r.Resumable
 }
 
-// Engine says how fast the engines of a service work. Times are for one whole
+// Engine describes the speed of the engines of a service. All values are for one whole
 // replica.
 type Engine struct {
-	Slots       int           // Requests that write at once.
-	Step        time.Duration // One token for every request that writes.
-	PerSequence time.Duration // Added to a step by each of them,
-	PerContext  time.Duration // and by each 1,000 tokens of their contexts.
-	ReadRate    float64       // Tokens of prompts read in a second.
-	PairsCost   time.Duration // For a million pairs of a token and one before it.
-	Chunk       int           // Tokens of prompts read in one step.
-	Stride      int           // Steps that a pass with writers plays.
-	Memory      int           // Tokens of contexts that fit.
-	UsualPrompt int           // Mean tokens of a prompt,
-	UsualAnswer int           // and of an answer.
-	Layers      int           // Of the model.
-	Chunks      int           // Pieces of a version of the weights,
-	ChunkBytes  int           // and the bytes of one.
+	Slots       int           // Requests that decode at the same time.
+	Step        time.Duration // Base time of a decoding step, which yields one token for each decoding request.
+	PerSequence time.Duration // Added to a step by each decoding request.
+	PerContext  time.Duration // Added to a step by each 1,000 tokens of the requests' contexts.
+	ReadRate    float64       // Prompt tokens prefilled per second.
+	PairsCost   time.Duration // Prefill time for a million pairs of a token and an earlier token.
+	Chunk       int           // Prompt tokens prefilled in one step.
+	Stride      int           // Decoding steps for each prefill pass while requests decode.
+	Memory      int           // Capacity of the KV cache in tokens.
+	UsualPrompt int           // Mean length of a prompt in tokens.
+	UsualAnswer int           // Mean length of an answer in tokens.
+	Layers      int           // Layers of the model.
+	Chunks      int           // Number of chunks of a version of the weights.
+	ChunkBytes  int           // Size of a chunk in bytes.
 }
 
-// CallerLimits bounds what callers may send.
+// CallerLimits bounds the size and timing of callers' requests.
 type CallerLimits struct {
 	HeaderBytes int
 	BodyBytes   int
@@ -61,12 +61,12 @@
 	IdleWait    time.Duration
 }
 
-// Routing finds the route of a request and the owner of a key. It is made once
-// for each configuration and does not change.
+// Routing finds the route of a request and the owner of an API key. It is built once for
+// each configuration and is immutable.
 type Routing struct {
-	byHost map[string][]namedRoute // The longest prefix first.
-	owners map[string]string       // The organisation of each key.
-	Keyed  bool                    // Requests need a key.
+	byHost map[string][]namedRoute // Ordered by prefix length, longest first.
+	owners map[string]string       // The organisation of each API key.
+	Keyed  bool                    // Requests need an API key, except on public routes.
 }
 
 type namedRoute struct {
@@ -74,7 +74,7 @@
 	route Route
 }
 
-// NewRouting prepares a configuration for look-ups.
+// NewRouting builds the look-up tables of a configuration.
 func NewRouting(cfg *Config) *Routing {
 	t := &Routing{byHost: map[string][]namedRoute{}, owners: map[string]string{}, Keyed: len(cfg.Organisations) > 0}
 	for name, r := range cfg.Routes {
@@ -93,7 +93,7 @@
 	return t
 }
 
-// Find returns the route of a host and path, and its name.
+// Find returns the name and the route for a host and path.
 func (t *Routing) Find(host, path string) (string, *Route, bool) {
 	for i := range t.byHost[host] {
 		if r := &t.byHost[host][i]; strings.HasPrefix(path, r.route.Prefix) {
@@ -103,7 +103,7 @@
 	return "", nil, false
 }
 
-// Owner returns the organisation that holds a key.
+// Owner returns the organisation that an API key belongs to.
 func (t *Routing) Owner(key string) (string, bool) {
 	name, ok := t.owners[key]
 	return name, ok
--- a/config/table.go
+++ b/config/table.go
@@ -7,48 +7,48 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// maxTombstones bounds the removed entries that a Table remembers, and
-// maxVisited the versions that it can tell the changes from. Any other reader is
-// sent the whole table.
+// maxTombstones bounds the removed entries that a Table keeps, and maxVisited the
+// versions for which it can compute a delta. A reader at any other version is sent the
+// whole table.
 const (
 	maxTombstones = 1024
 	maxVisited    = 1024
 )
 
-// Entry is one value and the version at which this process saw it change.
+// Entry is one value and the version at which it changed in this process's table.
 type Entry[V comparable] struct {
 	Value   V
 	Version uint64
-	Gone    bool // A removed entry, kept so that a delta can name it.
+	Gone    bool // A tombstone: the entry was removed, and is kept so that a delta can list it.
 }
 
-// Table is a keyed set with a rising version. The zero value is empty.
+// Table is a keyed set with an increasing version. The zero value is empty.
 type Table[V comparable] struct {
-	Version uint64 // Never falls.
+	Version uint64 // Never decreases.
 	Entries map[string]Entry[V]
-	// visited holds the versions whose exact contents this table had, in order.
-	// Only from those can it name every change: a version that it skipped may
-	// have had entries that it never saw.
+	// visited holds, in order, the versions whose exact contents this table had. A delta
+	// can start only from these: a version that was skipped may have had entries that
+	// this table never had.
 	visited []uint64
 }
 
-// Delta is what changed between two versions of a Table.
+// Delta holds the changes between two versions of a Table.
 type Delta[V comparable] struct {
-	Base    uint64 // The reader has exactly this version.
+	Base    uint64 // The delta applies only to a table of exactly this version.
 	Version uint64
-	Whole   bool // Set holds every entry; all others are gone.
+	Whole   bool // Set holds every entry; all others are removed.
 	Set     map[string]V
 	Gone    []string
 }
 
-// Replace sets the whole contents at a version. An older or equal version is
-// refused with fault.OlderRevision.
+// Replace replaces all entries at a version. An older or equal version is refused with
+// fault.OlderRevision.
 func (t *Table[V]) Replace(version uint64, values map[string]V) error {
 	return t.Apply(Delta[V]{Version: version, Whole: true, Set: values})
 }
 
 // Apply brings the table to the version of d. A delta that is not newer, or that
-// starts at another version than the table's, is refused with
+// starts at a version other than the table's, is refused with
 // fault.OlderRevision and changes nothing.
 func (t *Table[V]) Apply(d Delta[V]) error {
 	if d.Version <= t.Version {
@@ -90,7 +90,8 @@
 	}
 }
 
-// prune forgets all tombstones once there are too many.
+// prune deletes all tombstones if there are more than maxTombstones. Deltas from earlier
+// versions are then impossible.
 func (t *Table[V]) prune() {
 	var gone []string
 	for k, e := range t.Entries {
@@ -107,7 +108,7 @@
 	t.visited = []uint64{t.Version}
 }
 
-// Since returns what a reader at version v lacks.
+// Since returns the delta for a reader at version v.
 func (t *Table[V]) Since(v uint64) Delta[V] {
 	d := Delta[V]{Base: v, Version: t.Version, Whole: !slices.Contains(t.visited, v), Set: map[string]V{}}
 	for k, e := range t.Entries {
@@ -122,7 +123,7 @@
 	return d
 }
 
-// Values returns the entries that are not gone.
+// Values returns the values of all entries that are not removed.
 func (t *Table[V]) Values() map[string]V {
 	out := make(map[string]V, len(t.Entries))
 	for k, e := range t.Entries {
