--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,10 @@
-// Package settings reads the YAML settings of one process. They say who and
-// where it is; what it does comes from the configuration that operators publish.
+// Package settings reads the YAML settings of one process: its identity, addresses and
+// local limits. Services, models and organisations come from the configuration that
+// operators publish, see package config.
+//
+// LoadGateway and LoadAgent read the settings of the processes of a fleet with agents at
+// all upstreams. LoadRelay and LoadStager read those of gateways that send requests
+// directly to the platform's replicas and of agents that stage weights for them.
 package settings
 
 import (
@@ -15,42 +20,42 @@
 	"github.com/poststand/poststand/internal/strict"
 )
 
-// Common is what every process has.
+// Common holds the settings that Gateway and Agent share.
 type Common struct {
 	Cluster  string        `yaml:"cluster"`   // Peers of other clusters are refused.
 	Box      string        `yaml:"box"`       // The box's name in the fleet list.
-	Hall     string        `yaml:"hall"`      // Its hall.
+	Hall     string        `yaml:"hall"`      // The hall of the box.
 	Listen   string        `yaml:"listen"`    // IP and port for other processes of the system.
 	Admin    string        `yaml:"admin"`     // IP and port for metrics, health and status.
-	Join     []string      `yaml:"join"`      // Gateways to ask before a fleet list is known.
+	Join     []string      `yaml:"join"`      // Gateways to contact before a fleet list is known.
 	DrainFor time.Duration `yaml:"drain_for"` // How long a planned stop waits for requests; 2m by default.
-	MaxConns int           `yaml:"max_conns"` // Connections from peers; 4096 by default.
+	MaxConns int           `yaml:"max_conns"` // Maximum number of connections from peers; 4096 by default.
 }
 
-// Gateway is the settings of a gateway.
+// Gateway holds the settings of a gateway.
 type Gateway struct {
 	Common      `yaml:",inline"`
 	HTTP        string        `yaml:"http"`         // IP and port for callers.
 	Platform    string        `yaml:"platform"`     // URL of the platform's service.
-	MaxBody     int           `yaml:"max_body"`     // Bytes of a caller's request; 4 MiB by default.
-	MaxAnswer   int           `yaml:"max_answer"`   // Bytes of a buffered answer; 8 MiB by default.
-	HeaderWait  time.Duration `yaml:"header_wait"`  // For a caller's request headers; 5s by default.
-	BodyWait    time.Duration `yaml:"body_wait"`    // For a caller's whole request; 20s by default.
-	LingerFor   time.Duration `yaml:"linger_for"`   // After a stop is announced, new callers are still served; 3s by default.
-	MaxAttempts int           `yaml:"max_attempts"` // Tries of one request; 4 by default.
+	MaxBody     int           `yaml:"max_body"`     // Maximum size of a caller's request in bytes; 4 MiB by default.
+	MaxAnswer   int           `yaml:"max_answer"`   // Maximum size of a buffered answer in bytes; 8 MiB by default.
+	HeaderWait  time.Duration `yaml:"header_wait"`  // Time-out for a caller's request headers; 5s by default.
+	BodyWait    time.Duration `yaml:"body_wait"`    // Time-out for a caller's whole request; 20s by default.
+	LingerFor   time.Duration `yaml:"linger_for"`   // How long new callers are still served after a stop is announced; 3s by default.
+	MaxAttempts int           `yaml:"max_attempts"` // Maximum attempts for one request; 4 by default.
 }
 
-// Agent is the settings of an agent.
+// Agent holds the settings of an agent.
 type Agent struct {
 	Common   `yaml:",inline"`
 	Engine   string `yaml:"engine"`            // URL of the engine or plain service on this box.
 	Source   string `yaml:"source"`            // IP and port from which the engine pulls weights.
 	Origin   string `yaml:"origin"`            // URL of the origin of weights.
-	Memory   int64  `yaml:"memory"`            // Bytes of weights kept; 1 GiB by default.
-	Slots    int    `yaml:"slots"`             // Requests that run at once; 8 by default.
-	Queue    int    `yaml:"queue"`             // Requests that wait; 16 by default.
-	Strategy string `yaml:"strategy"`          // Of distribution; swarm by default, and the same on all boxes.
-	LinkBPS  int64  `yaml:"link_bytes_second"` // The box's link; 0 is unknown, and not paced.
+	Memory   int64  `yaml:"memory"`            // Bytes of weights kept in memory; 1 GiB by default.
+	Slots    int    `yaml:"slots"`             // Concurrent requests; 8 by default.
+	Queue    int    `yaml:"queue"`             // Maximum number of queued requests; 16 by default.
+	Strategy string `yaml:"strategy"`          // Strategy of weight distribution; swarm by default, and the same on all boxes.
+	LinkBPS  int64  `yaml:"link_bytes_second"` // Bytes per second of the box's link; 0 is unknown, and transfers are not paced.
 }
 
 const (
@@ -67,24 +72,24 @@
 	defaultQueue       = 16
 )
 
-// Strategies of distribution.
+// Strategies of weight distribution.
 const (
 	StrategySwarm  = "swarm"
 	StrategyTree   = "tree"
 	StrategyDirect = "direct"
 )
 
-func setDefault[T comparable](v *T, d T) {
+func setDefault[T comparable](v *T, def T) {
 	var zero T
 	if *v == zero {
-		*v = d
+		*v = def
 	}
 }
 
-// LoadGateway reads the settings of a gateway, or returns every fault in them.
+// LoadGateway reads the settings of a gateway, or returns every problem in them.
 func LoadGateway(file string) (*Gateway, error) {
 	g := &Gateway{}
-	d, err := read(file, g)
+	d, err := decodeFile(file, g)
 	if err != nil {
 		return nil, err
 	}
@@ -100,13 +105,13 @@
 	checkPositive(d, "max_body", int64(g.MaxBody))
 	checkPositive(d, "max_answer", int64(g.MaxAnswer))
 	checkPositive(d, "max_attempts", int64(g.MaxAttempts))
-	return g, problems(d)
+	return g, problemsError(d)
 }
 
-// LoadAgent reads the settings of an agent, or returns every fault in them.
+// LoadAgent reads the settings of an agent, or returns every problem in them.
 func LoadAgent(file string) (*Agent, error) {
 	a := &Agent{}
-	d, err := read(file, a)
+	d, err := decodeFile(file, a)
 	if err != nil {
 		return nil, err
 	}
@@ -127,12 +132,12 @@
 	checkPositive(d, "slots", int64(a.Slots))
 	checkPositive(d, "queue", int64(a.Queue))
 	if len(a.Join) == 0 {
-		d.Report("join", "names no gateway")
+		d.Report("join", "must list at least one gateway")
 	}
-	return a, problems(d)
+	return a, problemsError(d)
 }
 
-func read(file string, out any) (*strict.Document, error) {
+func decodeFile(file string, out any) (*strict.Document, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fault.Wrap(fault.BadConfig, err, file)
@@ -140,7 +145,7 @@
 	return strict.Decode(file, data, out), nil
 }
 
-func problems(d *strict.Document) error {
+func problemsError(d *strict.Document) error {
 	if len(d.Problems) == 0 {
 		return nil
 	}
@@ -151,14 +156,14 @@
 func checkCommon(d *strict.Document, c *Common) {
 	setDefault(&c.DrainFor, defaultDrainFor)
 	setDefault(&c.MaxConns, defaultMaxConns)
-	checkNamed(d, c.Cluster, c.Box, c.Hall)
+	checkIdentity(d, c.Cluster, c.Box, c.Hall)
 	checkAddr(d, "listen", c.Listen)
 	checkAddr(d, "admin", c.Admin)
 	checkJoin(d, c.Join)
 	checkPositive(d, "max_conns", int64(c.MaxConns))
 }
 
-func checkNamed(d *strict.Document, cluster, box, hall string) {
+func checkIdentity(d *strict.Document, cluster, box, hall string) {
 	for _, f := range []struct{ key, value string }{{"cluster", cluster}, {"box", box}, {"hall", hall}} {
 		if f.value == "" {
 			d.Report(f.key, "must be set")
@@ -178,7 +183,7 @@
 	}
 }
 
-// checkAddr wants an IP number, since names are not used between processes.
+// checkAddr requires an IP address, since processes do not resolve host names of others.
 func checkAddr(d *strict.Document, key, addr string) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		d.Report(key, fmt.Sprintf("want an IP number and port such as 127.0.0.1:7400, not %q", addr))
--- a/internal/times/seconds.go
+++ b/internal/times/seconds.go
@@ -7,12 +7,12 @@
 	"github.com/poststand/poststand/internal/decimal"
 )
 
-// MaxDuration is the longest time that Seconds returns.
+// MaxDuration is the longest duration that ParseSeconds returns.
 const MaxDuration = 10 * 365 * 24 * time.Hour
 
-// ParseSeconds parses a time in seconds, fractions included, as headers tell it. One that is too
-// long to be told apart from forever is Longest. It reports false for what is no number,
-// and for one below zero.
+// ParseSeconds parses a decimal number of seconds, such as the value of a Retry-After
+// header, and rounds it up to a nanosecond. Longer times than MaxDuration become
+// MaxDuration. It reports false if s is not a number or is negative.
 func ParseSeconds(s string) (time.Duration, bool) {
 	v, ok := decimal.Parse(s)
 	if !ok {
--- a/internal/times/seconds_test.go
+++ b/internal/times/seconds_test.go
@@ -15,7 +15,7 @@
 	}{
 		{"3", 3 * time.Second, true},
 		{" 0.25 ", 250 * time.Millisecond, true},
-		{"0.0000000001", 1, true}, // Never less than was asked for.
+		{"0.0000000001", 1, true}, // Rounded up, so never shorter than requested.
 		{"1e1", 10 * time.Second, true},
 		{"0", 0, true},
 		{"99999999999", MaxDuration, true},
@@ -42,7 +42,8 @@
 	}
 }
 
-// No text makes a time below zero, or above what can be added to any time of day.
+// No input gives a negative duration, or one above MaxDuration, which could overflow when
+// added to a point in time.
 func FuzzSeconds(f *testing.F) {
 	for _, s := range []string{"3", "0.5", "1e400", "+1", "1e-400", "..", "1e", "١"} {
 		f.Add(s)
--- a/internal/times/times.go
+++ b/internal/times/times.go
@@ -1,4 +1,4 @@
-// Package times compares points in time.
+// Package times compares points in time and parses durations given in seconds.
 package times
 
 import "time"
