--- a/cmd/poststand/cmd/check.go
+++ b/cmd/poststand/cmd/check.go
@@ -15,29 +15,29 @@
 
 func checkCommand() *cobra.Command {
 	files := map[string]*settingsFile{
-		"gateway": {what: "a gateway", load: loads(settings.LoadGateway)},
-		"agent":   {what: "an agent", load: loads(settings.LoadAgent)},
-		"relay":   {what: "a gateway that sends straight to replicas", load: loads(settings.LoadRelay)},
-		"stager":  {what: "an agent that stages weights", load: loads(settings.LoadStager)},
+		"gateway": {description: "a gateway", load: discardResult(settings.LoadGateway)},
+		"agent":   {description: "an agent", load: discardResult(settings.LoadAgent)},
+		"relay":   {description: "a gateway that sends directly to replicas", load: discardResult(settings.LoadRelay)},
+		"stager":  {description: "an agent that stages weights", load: discardResult(settings.LoadStager)},
 	}
 	c := &cobra.Command{
 		Use:   "check [DIR]",
-		Short: "Check operators' files as a whole, or the settings of a process",
+		Short: "Check a directory of configuration files, or the settings of processes",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			named := 0
+			checked := 0
 			for _, name := range rendezvous.Sorted(files) {
 				f := files[name]
 				if f.path == "" {
 					continue
 				}
-				named++
+				checked++
 				if err := f.load(f.path); err != nil {
 					return err
 				}
 			}
 			if len(args) == 0 {
-				if named == 0 {
+				if checked == 0 {
 					return fault.New(fault.BadRequest, "nothing to check: name a directory or a settings file")
 				}
 				return nil
@@ -52,26 +52,26 @@
 		},
 	}
 	for name, f := range files {
-		c.Flags().StringVar(&f.path, name, "", "settings file of "+f.what)
+		c.Flags().StringVar(&f.path, name, "", "settings file of "+f.description)
 	}
 	return c
 }
 
-// settingsFile is a kind of settings that can be checked.
+// settingsFile is one kind of settings file that can be checked.
 type settingsFile struct {
-	what string
-	path string
-	load func(path string) error
+	description string
+	path        string
+	load        func(path string) error
 }
 
-func loads[T any](load func(path string) (T, error)) func(path string) error {
+func discardResult[T any](load func(path string) (T, error)) func(path string) error {
 	return func(path string) error {
 		_, err := load(path)
 		return err
 	}
 }
 
-// loadConfig reads and validates the YAML files of a directory as one whole.
+// loadConfig reads and validates the YAML files of a directory as one revision.
 func loadConfig(dir string) (*config.Config, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.yaml"))
 	if err != nil || len(files) == 0 {
--- a/cmd/poststand/cmd/origin_test.go
+++ b/cmd/poststand/cmd/origin_test.go
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// An origin takes few connections in all: an agent that kept one while it fetches
-// nothing would keep other boxes from their pieces.
+// The origin accepts few connections in total, so an idle connection of one agent would
+// block the fetches of other boxes.
 func TestNoConnectionRestsAtTheOrigin(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
@@ -35,14 +35,14 @@
 	srv.Start()
 	defer srv.Close()
 
-	data, err := origin(originClient()).Piece(t.Context(), srv.Listener.Addr().String(), "m", 2, 0)
+	data, err := newOrigin(newOriginClient()).Piece(t.Context(), srv.Listener.Addr().String(), "m", 2, 0)
 	is.NoErr(err)
 	is.Equal(string(data), "piece")
 
-	const soon = 5 * time.Second
+	const timeout = 5 * time.Second
 	select {
 	case <-closed:
-	case <-time.After(soon):
+	case <-time.After(timeout):
 	}
 	mu.Lock()
 	defer mu.Unlock()
--- a/cmd/poststand/cmd/plan.go
+++ b/cmd/poststand/cmd/plan.go
@@ -56,8 +56,9 @@
 	return boxes, nil
 }
 
-// work is what a box does under a configuration.
-func work(cfg *config.Config, p *config.Placement, box string) string {
+// assignedWork returns the service that a box serves, with the version for a model
+// service, or "-" if it serves none.
+func assignedWork(cfg *config.Config, p *config.Placement, box string) string {
 	name, ok := p.ByBox[box]
 	if !ok {
 		return "-"
@@ -70,9 +71,9 @@
 
 func printPlan(w io.Writer, cfg, old *config.Config, boxes map[string]fleet.Box) error {
 	p := config.Place(cfg, boxes)
-	var was *config.Placement
+	var oldPlacement *config.Placement
 	if old != nil {
-		was = config.Place(old, boxes)
+		oldPlacement = config.Place(old, boxes)
 	}
 	changed := 0
 	for _, name := range rendezvous.Sorted(boxes) {
@@ -80,9 +81,9 @@
 		if b.Class == fleet.ClassGateway {
 			continue
 		}
-		line := fmt.Sprintf("box=%s hall=%s serves=%s", name, b.Hall, work(cfg, p, name))
-		if was != nil {
-			if before := work(old, was, name); before != work(cfg, p, name) {
+		line := fmt.Sprintf("box=%s hall=%s serves=%s", name, b.Hall, assignedWork(cfg, p, name))
+		if oldPlacement != nil {
+			if before := assignedWork(old, oldPlacement, name); before != assignedWork(cfg, p, name) {
 				line += " was=" + before
 				changed++
 			}
@@ -91,12 +92,12 @@
 			return fault.Wrap(fault.Closed, err, "output")
 		}
 	}
-	for _, at := range rendezvous.Sorted(p.Short) {
-		if _, err := fmt.Fprintf(w, "short=%s replicas=%d\n", at, p.Short[at]); err != nil {
+	for _, key := range rendezvous.Sorted(p.Short) {
+		if _, err := fmt.Fprintf(w, "short=%s replicas=%d\n", key, p.Short[key]); err != nil {
 			return fault.Wrap(fault.Closed, err, "output")
 		}
 	}
-	if was != nil {
+	if oldPlacement != nil {
 		if _, err := fmt.Fprintf(w, "changed=%d\n", changed); err != nil {
 			return fault.Wrap(fault.Closed, err, "output")
 		}
--- a/cmd/poststand/cmd/relay.go
+++ b/cmd/poststand/cmd/relay.go
@@ -16,29 +16,30 @@
 	"github.com/poststand/poststand/platform"
 )
 
-// settingsVariable names the file with the settings where no flag does.
-const settingsVariable = "POSTSTAND_CONFIG"
+// settingsEnv is the environment variable with the path of the settings file, used if the
+// flag is not set.
+const settingsEnv = "POSTSTAND_CONFIG"
 
 func relayCommand() *cobra.Command {
 	var file string
 	c := &cobra.Command{
 		Use:   "relay [--settings FILE]",
-		Short: "Run a gateway that sends requests straight to the platform's replicas",
+		Short: "Run a gateway that sends requests directly to the platform's replicas",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			file := orVariable(file)
+			file := settingsPathOrEnv(file)
 			s, err := settings.LoadRelay(file)
 			if err != nil {
 				return err
 			}
-			t := &platform.Translator{OnInvalid: badRecord}
-			g, err := relay.New(s, relay.Options{Headers: platform.Dialect, Follower: follow(s.Store), BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.Precedence})
+			t := &platform.Translator{OnInvalid: logInvalidRecord}
+			g, err := relay.New(s, relay.Options{Headers: platform.Dialect, Follower: newStoreFollower(s.Store), BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.Precedence})
 			if err != nil {
 				return err
 			}
 			ctx, cancel := stopContext(c.Context())
 			defer cancel()
-			reloads(ctx, file, func() error {
+			reloadOnChange(ctx, file, func() error {
 				s, err := settings.LoadRelay(file)
 				if err != nil {
 					return err
@@ -53,33 +54,33 @@
 }
 
 func optionalSettingsFlag(c *cobra.Command, file *string) {
-	c.Flags().StringVar(file, "settings", "", "YAML file with the settings of this process; by default the one that "+settingsVariable+" names")
+	c.Flags().StringVar(file, "settings", "", "YAML file with the settings of this process; by default the one that "+settingsEnv+" names")
 }
 
-func orVariable(file string) string {
+func settingsPathOrEnv(file string) string {
 	if file == "" {
-		return os.Getenv(settingsVariable)
+		return os.Getenv(settingsEnv)
 	}
 	return file
 }
 
-func badRecord(key string, err error) {
+func logInvalidRecord(key string, err error) {
 	telemetry.Log("record_refused", "key", key, "reason", fault.CodeOf(err), "detail", err.Error())
 }
 
-// follow reads the platform's store at an address.
-func follow(addr string) *peers.Follower {
-	s := &platform.Store{Addr: addr, HTTP: platformClient(), OnNewEra: newEra}
+// newStoreFollower returns a follower of the platform's store at addr.
+func newStoreFollower(addr string) *peers.Follower {
+	s := &platform.Store{Addr: addr, HTTP: newPlatformClient(), OnNewEra: logNewEra}
 	return &peers.Follower{ReadAll: s.Whole, Watch: s.Watch, Newest: s.Newest}
 }
 
-func newEra(era, before uint64, path string, status int) {
-	telemetry.Log("store_era", "era", era, "before", before, "path", path, "status", status)
+func logNewEra(era, previous uint64, path string, status int) {
+	telemetry.Log("store_era", "era", era, "before", previous, "path", path, "status", status)
 }
 
-// platformClient speaks to what stands on the platform. It notices a dead path
-// by itself and keeps its connections.
-func platformClient() *http.Client {
+// newPlatformClient returns the HTTP client for the platform's services. It detects dead
+// paths, see package link, and keeps idle connections.
+func newPlatformClient() *http.Client {
 	const idle = 90 * time.Second
 	return &http.Client{Transport: &http.Transport{
 		DialContext: link.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 4, IdleConnTimeout: idle,
--- a/cmd/poststand/cmd/reload.go
+++ b/cmd/poststand/cmd/reload.go
@@ -10,53 +10,52 @@
 	"github.com/poststand/poststand/internal/telemetry"
 )
 
-// reloadEvery is how often a settings file is looked at: it may change without a
-// signal.
-const reloadEvery = 2 * time.Second
+// settingsPollInterval is how often a settings file is checked for changes, since it may
+// change without a signal.
+const settingsPollInterval = 2 * time.Second
 
-// reloads calls reload when the process is told that its settings file has
-// changed, and when it has changed without that. Settings that are refused leave
-// the old ones in force.
-func reloads(ctx context.Context, file string, reload func() error) {
+// reloadOnChange calls reload on SIGHUP and whenever the settings file has changed. If
+// reload refuses the new settings, the old ones stay in force.
+func reloadOnChange(ctx context.Context, file string, reload func() error) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	go func() {
 		defer signal.Stop(hangups)
-		t := time.NewTicker(reloadEvery)
+		t := time.NewTicker(settingsPollInterval)
 		defer t.Stop()
-		seen := changeOf(file)
+		last := statFile(file)
 		for {
-			why := "signal"
+			trigger := "signal"
 			select {
 			case <-hangups:
 			case <-t.C:
-				if changeOf(file) == seen {
+				if statFile(file) == last {
 					continue
 				}
-				why = "file"
+				trigger = "file"
 			case <-ctx.Done():
 				return
 			}
-			seen = changeOf(file)
+			last = statFile(file)
 			if err := reload(); err != nil {
-				telemetry.LogError(err, "settings_refused", "file", file, "why", why)
+				telemetry.LogError(err, "settings_refused", "file", file, "why", trigger)
 				continue
 			}
-			telemetry.Log("settings_reloaded", "file", file, "why", why)
+			telemetry.Log("settings_reloaded", "file", file, "why", trigger)
 		}
 	}()
 }
 
-// change tells two states of a file apart.
-type change struct {
-	at   time.Time
-	size int64
+// fileState identifies a version of a file by its modification time and size.
+type fileState struct {
+	modTime time.Time
+	size    int64
 }
 
-func changeOf(file string) change {
+func statFile(file string) fileState {
 	i, err := os.Stat(file)
 	if err != nil {
-		return change{}
+		return fileState{}
 	}
-	return change{i.ModTime(), i.Size()}
+	return fileState{i.ModTime(), i.Size()}
 }
--- a/cmd/poststand/cmd/root.go
+++ b/cmd/poststand/cmd/root.go
@@ -1,4 +1,5 @@
-// Package cmd holds the subcommands of poststand, a file each.
+// Package cmd implements the subcommands of poststand, one in each file. New returns the
+// command tree and Main runs it.
 package cmd
 
 import (
@@ -17,10 +18,9 @@
 	"github.com/poststand/poststand/internal/telemetry"
 )
 
-// Main runs the command line and returns the exit status: 0 when all is well,
-// 1 on failure.
+// Main runs the command line and returns the exit status: 0 on success, 1 on failure.
 func Main() int {
-	lines := telemetry.NewLines(os.Stdout)
+	lines := telemetry.NewLineWriter(os.Stdout)
 	defer lines.Close()
 	defer klog.Flush()
 	klog.SetOutput(lines)
@@ -35,7 +35,7 @@
 func New() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "poststand",
-		Short:         "Bring model weights to many boxes at once, and requests to the boxes that have them",
+		Short:         "Distribute model weights to many boxes, and requests to the boxes that have them",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -49,7 +49,7 @@
 	return root
 }
 
-// printError prints every fault of bad input on a line of its own.
+// printError prints an error; the problems of an invalid input get one line each.
 func printError(err error) {
 	var ps strict.Problems
 	if errors.As(err, &ps) {
@@ -59,8 +59,8 @@
 	fmt.Fprintln(os.Stderr, "poststand:", err)
 }
 
-// stopContext ends at the first SIGTERM or interrupt, which asks for a drain. A
-// second one ends the process at once.
+// stopContext returns a context that is cancelled by the first SIGTERM or interrupt, which
+// starts a drain. A second signal exits the process immediately.
 func stopContext(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	signals := make(chan os.Signal, 2)
--- a/cmd/poststand/cmd/stager.go
+++ b/cmd/poststand/cmd/stager.go
@@ -17,24 +17,24 @@
 	var file string
 	c := &cobra.Command{
 		Use:   "stager [--settings FILE]",
-		Short: "Run the agent of a box whose replica takes weights that are staged for it",
+		Short: "Run the agent of a box whose replica loads staged weights",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			file := orVariable(file)
+			file := settingsPathOrEnv(file)
 			s, err := settings.LoadStager(file)
 			if err != nil {
 				return err
 			}
-			t := &platform.Translator{OnInvalid: badRecord}
+			t := &platform.Translator{OnInvalid: logInvalidRecord}
 			st, err := stager.New(s, stager.Options{
-				Replica: replica(s.Replica), Origin: origin(originClient()), Platform: follow(s.Store), Catalog: t.Catalog, KeepsHistory: platform.KeepsHistory, Outlasts: platform.Precedence,
+				Replica: newReplica(s.Replica), Origin: newOrigin(newOriginClient()), Platform: newStoreFollower(s.Store), Catalog: t.Catalog, KeepsHistory: platform.KeepsHistory, Outlasts: platform.Precedence,
 			})
 			if err != nil {
 				return err
 			}
 			ctx, cancel := stopContext(c.Context())
 			defer cancel()
-			reloads(ctx, file, func() error {
+			reloadOnChange(ctx, file, func() error {
 				s, err := settings.LoadStager(file)
 				if err != nil {
 					return err
@@ -48,20 +48,20 @@
 	return c
 }
 
-func replica(addr string) stager.Replica {
-	r := &platform.Replica{Addr: addr, HTTP: platformClient()}
+func newReplica(addr string) stager.Replica {
+	r := &platform.Replica{Addr: addr, HTTP: newPlatformClient()}
 	return stager.Replica{Report: r.Report, Order: r.Order, Stage: r.Stage, ListStaged: r.Staged, ReadStaged: r.ReadStaged}
 }
 
-// originClient speaks to the origin of weights, which takes few connections in all:
-// one that rested here would be kept from the other boxes.
-func originClient() *http.Client {
+// newOriginClient returns the HTTP client for the origin of weights. It keeps no idle
+// connections: the origin accepts few in total, and an idle one would block other boxes.
+func newOriginClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext: link.DialContext, DisableCompression: true, DisableKeepAlives: true,
 	}}
 }
 
-func origin(c *http.Client) stager.Origin {
+func newOrigin(c *http.Client) stager.Origin {
 	return stager.Origin{
 		Manifest: func(ctx context.Context, addr, model string, version uint64) (*weights.Manifest, error) {
 			return (&platform.Origin{Addr: addr, HTTP: c}).Manifest(ctx, model, version)
--- a/cmd/poststand/cmd/status.go
+++ b/cmd/poststand/cmd/status.go
@@ -14,7 +14,7 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// summary is what all statuses have in common, and what transfers show.
+// summary holds the fields that all statuses share, and the state of weight transfers.
 type summary struct {
 	Role      string `json:"role"`
 	Box       string `json:"box"`
@@ -38,7 +38,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "status ADMIN...",
-		Short: "Show the state of daemons by their admin addresses, and whether they agree",
+		Short: "Show the status of daemons at their admin addresses and whether their configurations agree",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return printStatus(c.Context(), c.OutOrStdout(), args, asJSON)
@@ -51,18 +51,18 @@
 func printStatus(ctx context.Context, w io.Writer, addrs []string, asJSON bool) error {
 	revisions := map[string]int{}
 	failed := 0
-	for i, a := range askAll(ctx, addrs) {
-		if a.err != nil {
+	for i, result := range fetchAll(ctx, addrs) {
+		if result.err != nil {
 			failed++
-			_, _ = fmt.Fprintf(w, "admin=%s error=%q\n", addrs[i], a.err)
+			_, _ = fmt.Fprintf(w, "admin=%s error=%q\n", addrs[i], result.err)
 			continue
 		}
 		if asJSON {
-			_, _ = fmt.Fprintln(w, string(a.data))
+			_, _ = fmt.Fprintln(w, string(result.data))
 			continue
 		}
 		var s summary
-		if err := json.Unmarshal(a.data, &s); err != nil {
+		if err := json.Unmarshal(result.data, &s); err != nil {
 			return fault.Wrap(fault.Garbage, err, addrs[i])
 		}
 		revisions[s.Digest]++
@@ -77,26 +77,27 @@
 	return nil
 }
 
-type answer struct {
+type statusResult struct {
 	data []byte
 	err  error
 }
 
-// askAll asks many daemons at once and returns their answers in order.
-func askAll(ctx context.Context, addrs []string) []answer {
-	const atOnce = 64
-	answers := make([]answer, len(addrs))
-	slots := make(chan struct{}, atOnce)
+// fetchAll requests the statuses of many daemons concurrently and returns the results in
+// the order of addrs.
+func fetchAll(ctx context.Context, addrs []string) []statusResult {
+	const concurrency = 64
+	results := make([]statusResult, len(addrs))
+	slots := make(chan struct{}, concurrency)
 	var wg sync.WaitGroup
 	for i, addr := range addrs {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			answers[i].data, answers[i].err = getStatus(ctx, addr)
+			results[i].data, results[i].err = fetchStatus(ctx, addr)
 		})
 	}
 	wg.Wait()
-	return answers
+	return results
 }
 
 func statusLine(s *summary) string {
@@ -105,18 +106,18 @@
 		line += " state=" + s.State
 	}
 	chunks, missing := 0, 0
-	var by time.Time
+	var latest time.Time
 	for _, t := range s.Transfers {
 		chunks += t.Chunks
 		missing += t.Missing
-		if t.CompleteBy.After(by) {
-			by = t.CompleteBy
+		if t.CompleteBy.After(latest) {
+			latest = t.CompleteBy
 		}
 	}
 	if chunks > 0 {
 		line += fmt.Sprintf(" chunks=%d missing=%d", chunks, missing)
 	}
-	if left := time.Until(by).Round(time.Second); left > 0 {
+	if left := time.Until(latest).Round(time.Second); left > 0 {
 		line += fmt.Sprintf(" left=%s", left)
 	}
 	for _, kind := range []string{"origin", "peer_in_hall", "peer_across", "stall", "corrupt"} {
@@ -127,9 +128,9 @@
 	return line
 }
 
-func getStatus(ctx context.Context, addr string) ([]byte, error) {
-	const within, most = 3 * time.Second, 16 << 20
-	ctx, cancel := context.WithTimeout(ctx, within)
+func fetchStatus(ctx context.Context, addr string) ([]byte, error) {
+	const timeout, maxBytes = 3 * time.Second, 16 << 20
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/status", nil)
 	if err != nil {
@@ -140,7 +141,7 @@
 		return nil, fault.Wrap(fault.Unreachable, err, addr)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, most))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes))
 	if err != nil {
 		return nil, fault.Wrap(fault.Closed, err, addr)
 	}
--- a/cmd/poststand/main.go
+++ b/cmd/poststand/main.go
@@ -1,4 +1,4 @@
-// Command poststand is every process of poststand and the operators' commands.
+// Command poststand runs the processes of poststand and the operators' commands.
 package main
 
 import (
--- a/internal/telemetry/admin.go
+++ b/internal/telemetry/admin.go
@@ -14,8 +14,8 @@
 // Admin serves a process's metrics, health and status.
 type Admin struct {
 	Metrics *Metrics
-	Ready   func() error // Nil when the process may be sent work.
-	Status  func() any   // What `poststand status` prints.
+	Ready   func() error // Returns nil if the process accepts requests.
+	Status  func() any   // Returns the status that `poststand status` prints.
 }
 
 // Handler returns the admin endpoints.
@@ -35,10 +35,10 @@
 	return mux
 }
 
-// Server returns an HTTP server of the admin endpoints.
+// Server returns an HTTP server for the admin endpoints.
 func (a *Admin) Server() *http.Server { return &http.Server{Handler: a.Handler()} }
 
-// ServeHTTP serves h on ln until ctx ends.
+// ServeHTTP runs srv on ln until ctx is cancelled.
 func ServeHTTP(ctx context.Context, ln net.Listener, srv *http.Server) error {
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
--- a/internal/telemetry/lines.go
+++ b/internal/telemetry/lines.go
@@ -7,72 +7,72 @@
 	"time"
 )
 
-// linesKept bounds the lines that wait for a slow reader.
-const linesKept = 4096
+// lineQueueSize bounds the lines that are queued for a slow reader.
+const lineQueueSize = 4096
 
-// Lines is a writer of log lines that never blocks: what its reader does not take
-// in time is left out and counted. Use NewLines.
-type Lines struct {
-	out  io.Writer
-	ring chan []byte
-	done chan struct{}
+// LineWriter is a writer of log lines that never blocks: if its queue is full, lines are
+// dropped and counted. Use NewLineWriter.
+type LineWriter struct {
+	out   io.Writer
+	queue chan []byte
+	done  chan struct{}
 
-	mu     sync.Mutex
-	left   int // Out, since the last line that said so.
-	closed bool
+	mu      sync.Mutex
+	dropped int // Lines dropped since the last line that reported it.
+	closed  bool
 }
 
-// NewLines returns a writer that passes lines on to out.
-func NewLines(out io.Writer) *Lines {
-	l := &Lines{out: out, ring: make(chan []byte, linesKept), done: make(chan struct{})}
+// NewLineWriter returns a LineWriter that writes to out from its own goroutine.
+func NewLineWriter(out io.Writer) *LineWriter {
+	l := &LineWriter{out: out, queue: make(chan []byte, lineQueueSize), done: make(chan struct{})}
 	go l.run()
 	return l
 }
 
-// Write takes one line, or leaves it out.
-func (l *Lines) Write(line []byte) (int, error) {
+// Write queues one line, or drops it if the queue is full.
+func (l *LineWriter) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return len(line), nil
 	}
 	select {
-	case l.ring <- append([]byte(nil), line...):
+	case l.queue <- append([]byte(nil), line...):
 	default:
-		l.left++
+		l.dropped++
 	}
 	return len(line), nil
 }
 
-func (l *Lines) run() {
+func (l *LineWriter) run() {
 	defer close(l.done)
-	for line := range l.ring {
+	for line := range l.queue {
 		_, _ = l.out.Write(line)
-		if n := l.takeLeft(); n > 0 {
+		if n := l.takeDropped(); n > 0 {
 			_, _ = fmt.Fprintf(l.out, "\"log_lines_left_out\" count=%d\n", n)
 		}
 	}
 }
 
-func (l *Lines) takeLeft() int {
+func (l *LineWriter) takeDropped() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := l.left
-	l.left = 0
+	n := l.dropped
+	l.dropped = 0
 	return n
 }
 
-// Close waits a moment for what was taken to be passed on.
-func (l *Lines) Close() {
-	const within = 500 * time.Millisecond
+// Close waits up to 500 ms for the queued lines to be written.
+func (l *LineWriter) Close() {
+	const timeout = 500 * time.Millisecond
 	l.mu.Lock()
 	if !l.closed {
 		l.closed = true
-		close(l.ring)
+		close(l.queue)
 	}
 	l.mu.Unlock()
 	select {
 	case <-l.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
--- a/internal/telemetry/lines_test.go
+++ b/internal/telemetry/lines_test.go
@@ -11,14 +11,14 @@
 	"github.com/matryer/is"
 )
 
-// A reader that does not read holds up nobody; once it reads it learns how many
-// lines it missed.
+// A reader that does not read must not block writers. Once it reads, a line reports how
+// many lines were dropped.
 func TestLinesNeverBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r, w := io.Pipe()
-		l := NewLines(w)
-		const written = linesKept + 1000
+		l := NewLineWriter(w)
+		const written = lineQueueSize + 1000
 		for i := range written {
 			_, err := fmt.Fprintf(l, "line %d\n", i)
 			is.NoErr(err)
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -15,5 +15,5 @@
 // Log writes one event as key=value pairs.
 func Log(event string, pairs ...any) { klog.InfoSDepth(1, event, pairs...) }
 
-// LogError writes one event with the failure that it is about.
+// LogError writes one event with its error as key=value pairs.
 func LogError(err error, event string, pairs ...any) { klog.ErrorSDepth(1, err, event, pairs...) }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,8 +1,9 @@
-// Package telemetry gives a process its metrics and log lines.
+// Package telemetry provides the metrics, the admin endpoints and the logging of a process.
 //
 // Metrics are OpenTelemetry instruments, read over HTTP in the Prometheus text
 // format. Every refusal, retry and other event is a counter with its reason.
-// A log line is one event with key=value pairs, written by klog.
+// A log line is one event with key=value pairs, written by klog. LineWriter keeps a slow
+// reader of the log from blocking the process. Admin serves metrics, health and status.
 package telemetry
 
 import (
@@ -22,20 +23,20 @@
 
 // Metrics holds the instruments of a process.
 type Metrics struct {
-	Handler http.Handler // Serves the metrics.
-
-	meter      metric.Meter
-	refusals   metric.Int64Counter
-	retries    metric.Int64Counter
-	outcomes   metric.Int64Counter
-	events     metric.Int64Counter
-	bytes      metric.Int64Counter
-	moved      sync.Map // The attributes of bytes, by what was moved.
-	firstToken metric.Float64Histogram
-	whole      metric.Float64Histogram
+	Handler http.Handler // Serves the metrics in the Prometheus text format.
+
+	meter            metric.Meter
+	refusals         metric.Int64Counter
+	retries          metric.Int64Counter
+	outcomes         metric.Int64Counter
+	events           metric.Int64Counter
+	bytes            metric.Int64Counter
+	byteAttributes   sync.Map // Attribute sets of the bytes counter, by purpose.
+	firstDataSeconds metric.Float64Histogram
+	answerSeconds    metric.Float64Histogram
 }
 
-// New returns the instruments, read through their Handler.
+// New creates the instruments of a process.
 func New() (*Metrics, error) {
 	reg := prometheus.NewRegistry()
 	exp, err := otelprom.New(otelprom.WithRegisterer(reg))
@@ -50,18 +51,18 @@
 }
 
 func (m *Metrics) instruments() error {
-	var failed error
-	counter := func(name, what string) metric.Int64Counter {
-		c, err := m.meter.Int64Counter(name, metric.WithDescription(what))
+	var lastErr error
+	counter := func(name, description string) metric.Int64Counter {
+		c, err := m.meter.Int64Counter(name, metric.WithDescription(description))
 		if err != nil {
-			failed = fault.Wrap(fault.Internal, err, name)
+			lastErr = fault.Wrap(fault.Internal, err, name)
 		}
 		return c
 	}
-	seconds := func(name, what string) metric.Float64Histogram {
-		h, err := m.meter.Float64Histogram(name, metric.WithDescription(what), metric.WithUnit("s"))
+	seconds := func(name, description string) metric.Float64Histogram {
+		h, err := m.meter.Float64Histogram(name, metric.WithDescription(description), metric.WithUnit("s"))
 		if err != nil {
-			failed = fault.Wrap(fault.Internal, err, name)
+			lastErr = fault.Wrap(fault.Internal, err, name)
 		}
 		return h
 	}
@@ -70,12 +71,12 @@
 	m.outcomes = counter("poststand_outcomes", "Requests by the outcome that callers were told.")
 	m.events = counter("poststand_events", "Other events, by name and reason.")
 	m.bytes = counter("poststand_bytes", "Bytes moved, by what they were for.")
-	m.firstToken = seconds("poststand_first_data_seconds", "Until the first part of an answer.")
-	m.whole = seconds("poststand_answer_seconds", "Until the end of an answer.")
-	return failed
+	m.firstDataSeconds = seconds("poststand_first_data_seconds", "Until the first part of an answer.")
+	m.answerSeconds = seconds("poststand_answer_seconds", "Until the end of an answer.")
+	return lastErr
 }
 
-func with(pairs ...string) metric.MeasurementOption {
+func withAttributes(pairs ...string) metric.MeasurementOption {
 	attrs := make([]attribute.KeyValue, 0, len(pairs)/2)
 	for i := 0; i+1 < len(pairs); i += 2 {
 		attrs = append(attrs, attribute.String(pairs[i], pairs[i+1]))
@@ -85,48 +86,49 @@
 
 // Refused counts a refusal.
 func (m *Metrics) Refused(reason fault.Code) {
-	m.refusals.Add(context.Background(), 1, with("reason", string(reason)))
+	m.refusals.Add(context.Background(), 1, withAttributes("reason", string(reason)))
 }
 
-// Retried counts a further try.
+// Retried counts a retry, by the reason why the previous attempt failed.
 func (m *Metrics) Retried(reason fault.Code) {
-	m.retries.Add(context.Background(), 1, with("reason", string(reason)))
+	m.retries.Add(context.Background(), 1, withAttributes("reason", string(reason)))
 }
 
-// Outcome counts what a caller was told.
+// Outcome counts a request by the outcome that was reported to the caller.
 func (m *Metrics) Outcome(outcome string, reason fault.Code) {
-	m.outcomes.Add(context.Background(), 1, with("outcome", outcome, "reason", string(reason)))
+	m.outcomes.Add(context.Background(), 1, withAttributes("outcome", outcome, "reason", string(reason)))
 }
 
-// Event counts anything else, with a detail that is one of few words, or empty.
+// Event counts any other event. Detail must be empty or one of few values, since each
+// value makes a time series.
 func (m *Metrics) Event(name, detail string) {
-	m.events.Add(context.Background(), 1, with("event", name, "reason", detail))
+	m.events.Add(context.Background(), 1, withAttributes("event", name, "reason", detail))
 }
 
-// Failed counts a failure that is neither a refusal nor a retry.
+// Failed counts an error that is neither a refusal nor a retry.
 func (m *Metrics) Failed(name string, err error) { m.Event(name, string(fault.CodeOf(err))) }
 
-// Bytes counts bytes moved. It is called for each frame, so its attributes are made only
-// once; what is one of few words.
-func (m *Metrics) Bytes(what string, n int) {
-	opt, ok := m.moved.Load(what)
+// Bytes counts transferred bytes. It is called for each frame, so the attributes of each
+// purpose are built only once. Purpose must be one of few values.
+func (m *Metrics) Bytes(purpose string, n int) {
+	opt, ok := m.byteAttributes.Load(purpose)
 	if !ok {
-		opt, _ = m.moved.LoadOrStore(what, metric.WithAttributeSet(attribute.NewSet(attribute.String("what", what))))
+		opt, _ = m.byteAttributes.LoadOrStore(purpose, metric.WithAttributeSet(attribute.NewSet(attribute.String("what", purpose))))
 	}
 	m.bytes.Add(context.Background(), int64(n), opt.(metric.MeasurementOption))
 }
 
-// FirstData and Whole record seconds.
+// FirstData records the seconds until the first part of an answer.
 func (m *Metrics) FirstData(seconds float64) {
-	m.firstToken.Record(context.Background(), seconds)
+	m.firstDataSeconds.Record(context.Background(), seconds)
 }
 
 // Whole records the seconds until the end of an answer.
-func (m *Metrics) Whole(seconds float64) { m.whole.Record(context.Background(), seconds) }
+func (m *Metrics) Whole(seconds float64) { m.answerSeconds.Record(context.Background(), seconds) }
 
-// Gauge registers a value that is read when metrics are.
-func (m *Metrics) Gauge(name, what string, read func() float64) error {
-	_, err := m.meter.Float64ObservableGauge(name, metric.WithDescription(what),
+// Gauge registers a gauge whose value is read when the metrics are collected.
+func (m *Metrics) Gauge(name, description string, read func() float64) error {
+	_, err := m.meter.Float64ObservableGauge(name, metric.WithDescription(description),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
 			o.Observe(read())
 			return nil
