--- a/internal/decimal/decimal.go
+++ b/internal/decimal/decimal.go
@@ -1,4 +1,4 @@
-// Package decimal reads numbers as headers tell them.
+// Package decimal parses decimal numbers of HTTP headers.
 package decimal
 
 import (
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Parse reads a decimal number that is not below zero. It reports false for what is none:
-// signs, names of numbers and other bases among them. One that is too large for a float64
-// is positive infinity.
+// Parse parses a non-negative decimal number. It reports false for any other text, such as
+// a negative number, NaN, Inf or a number in another base. A number that is too large for
+// a float64 gives positive infinity.
 func Parse(s string) (float64, bool) {
 	s = strings.TrimSpace(s)
 	if s == "" || strings.Trim(s, "0123456789.eE+") != "" {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link connects over TCP so that a dead path is noticed within about a
-// second.
+// Package link dials TCP connections with short time-outs, keep-alive probes and a limit on
+// unacknowledged data, so that a dead path is detected within about a second.
 package link
 
 import (
@@ -12,31 +12,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of connections.
+// Time-outs and probes of connections.
 const (
-	dialWithin = 600 * time.Millisecond
-	ackWithin  = 1200 * time.Millisecond // Bytes that are not acknowledged by then mean a dead path.
-	probeEvery = time.Second
-	probes     = 2
-	// startWithin is how long a process that starts waits for another one: one that
-	// is not there yet, or that everybody calls at once, may be a moment later, and
-	// the kernel would ask again after a second.
-	startWithin = 200 * time.Millisecond
+	dialTimeout       = 600 * time.Millisecond
+	ackTimeout        = 1200 * time.Millisecond // Data that is unacknowledged for longer closes the connection.
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
+	// startupDialTimeout bounds each dial of a starting process. A peer that is not up yet,
+	// or that many processes dial at once, may accept a moment later, but the kernel would
+	// resend the SYN only after a second.
+	startupDialTimeout = 200 * time.Millisecond
 )
 
 // Dialer connects to other processes of the system.
 type Dialer struct {
-	// Starts reports whether this process has only just started, as far as the
-	// others are concerned.
+	// Starts reports whether this process is still starting, so that dials use the
+	// shorter startup time-out.
 	Starts  func() bool
-	Connect func(ctx context.Context, addr string) (net.Conn, error) // Dial by default.
+	Connect func(ctx context.Context, addr string) (net.Conn, error) // Establishes the connection; Dial if nil.
 }
 
-// Dial connects to a process.
+// Dial connects to a process at addr.
 func (d Dialer) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	if d.Starts() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, startWithin)
+		ctx, cancel = context.WithTimeout(ctx, startupDialTimeout)
 		defer cancel()
 	}
 	if d.Connect != nil {
@@ -47,19 +47,19 @@
 
 // DialContext connects to an upstream, another process or the platform.
 func DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
-	d := &net.Dialer{Timeout: dialWithin, KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probes,
+	d := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
+		Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes,
 	}, Control: setUserTimeout}
 	return d.DialContext(ctx, network, addr)
 }
 
-// Dial is DialContext over TCP.
+// Dial is DialContext with network "tcp".
 func Dial(ctx context.Context, addr string) (net.Conn, error) { return DialContext(ctx, "tcp", addr) }
 
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackWithin.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, sockErr)
 }
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,5 +1,5 @@
-// Package rapidseed fixes the seed of property-based tests, so that a run gives
-// the same verdict each time. POSTSTAND_RANDOM=1 draws anew.
+// Package rapidseed fixes the seed of property-based tests, so that every run gives the
+// same result. POSTSTAND_RANDOM=1 uses a random seed instead.
 package rapidseed
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Main is the TestMain of packages with properties.
+// Main is the TestMain of packages with property-based tests.
 func Main(m *testing.M) {
 	flag.Parse()
 	if os.Getenv("POSTSTAND_RANDOM") == "" {
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,8 @@
-// Package strict decodes YAML into structs and gathers every fault with its
-// file, line and path. Unknown keys are refused with the nearest known one.
+// Package strict decodes YAML into structs and collects every problem with its file, line
+// and path. Unknown keys are problems, with the nearest known key as a suggestion.
+//
+// Decode returns a Document, to which callers add the problems of their own validation
+// with Report.
 package strict
 
 import (
@@ -14,7 +17,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Problem is one fault at one place.
+// Problem is one problem at one place of a file.
 type Problem struct {
 	File string
 	Line int
@@ -26,10 +29,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Path, p.Text)
 }
 
-// Problems is every fault of one run. Its order is by file, line and path.
+// Problems lists the problems of one run. Sort orders them by file, line and path.
 type Problems []Problem
 
-// Error implements the error interface with a line for each problem.
+// Error implements the error interface. It returns one line for each problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -38,7 +41,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Sort puts problems into their order.
+// Sort orders problems by file, line and path.
 func (ps Problems) Sort() {
 	sort.SliceStable(ps, func(i, j int) bool {
 		a, b := ps[i], ps[j]
@@ -52,15 +55,15 @@
 	})
 }
 
-// Document is a decoded file that remembers where each path stood.
+// Document is a decoded file with the line of each path.
 type Document struct {
 	File     string
 	Lines    map[string]int
 	Problems Problems
 }
 
-// Decode fills out, a pointer to a struct, from YAML. Fields are named by
-// their yaml tags. Every fault goes to the document's Problems.
+// Decode decodes YAML into out, a pointer to a struct whose fields are named by their yaml
+// tags. Every problem is added to the document's Problems.
 func Decode(file string, data []byte, out any) *Document {
 	d := &Document{File: file, Lines: map[string]int{}}
 	var root yaml.Node
@@ -71,17 +74,17 @@
 	if len(root.Content) == 0 {
 		return d
 	}
-	d.value(root.Content[0], "", reflect.ValueOf(out).Elem())
+	d.decodeValue(root.Content[0], "", reflect.ValueOf(out).Elem())
 	return d
 }
 
-// Report adds a problem at a path of the document.
+// Report adds a problem at path.
 func (d *Document) Report(path, text string) {
-	d.report(d.line(path), path, text)
+	d.report(d.lineOf(path), path, text)
 }
 
-// line finds the line of path, or of its nearest parent.
-func (d *Document) line(path string) int {
+// lineOf returns the line of path or of its nearest parent that has one.
+func (d *Document) lineOf(path string) int {
 	for path != "" {
 		if n, ok := d.Lines[path]; ok {
 			return n
@@ -99,27 +102,27 @@
 	d.Problems = append(d.Problems, Problem{File: d.File, Line: line, Path: path, Text: text})
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func (d *Document) value(n *yaml.Node, path string, v reflect.Value) {
+func (d *Document) decodeValue(n *yaml.Node, path string, v reflect.Value) {
 	if n.Kind == yaml.AliasNode {
 		n = n.Alias
 	}
 	d.Lines[path] = n.Line
 	switch {
 	case v.Type() == reflect.TypeFor[time.Duration]():
-		d.duration(n, path, v)
+		d.decodeDuration(n, path, v)
 	case v.Kind() == reflect.Struct:
-		d.structure(n, path, v)
+		d.decodeStruct(n, path, v)
 	case v.Kind() == reflect.Map:
-		d.mapping(n, path, v)
+		d.decodeMap(n, path, v)
 	case v.Kind() == reflect.Slice:
-		d.sequence(n, path, v)
+		d.decodeSlice(n, path, v)
 	case n.Kind != yaml.ScalarNode:
 		d.report(n.Line, path, "want one "+v.Kind().String())
 	default:
@@ -129,7 +132,7 @@
 	}
 }
 
-func (d *Document) duration(n *yaml.Node, path string, v reflect.Value) {
+func (d *Document) decodeDuration(n *yaml.Node, path string, v reflect.Value) {
 	t, err := time.ParseDuration(n.Value)
 	if err != nil || t < 0 {
 		d.report(n.Line, path, fmt.Sprintf("want a duration such as 30s, not %q", n.Value))
@@ -138,57 +141,57 @@
 	v.SetInt(int64(t))
 }
 
-func (d *Document) structure(n *yaml.Node, path string, v reflect.Value) {
+func (d *Document) decodeStruct(n *yaml.Node, path string, v reflect.Value) {
 	fields := map[string]reflect.Value{}
-	collect(v, fields)
-	d.pairs(n, path, func(key, val *yaml.Node) {
+	collectFields(v, fields)
+	d.eachPair(n, path, func(key, val *yaml.Node) {
 		f, ok := fields[key.Value]
 		if !ok {
-			d.report(key.Line, join(path, key.Value), "unknown key"+nearest(key.Value, fields))
+			d.report(key.Line, joinPath(path, key.Value), "unknown key"+suggestion(key.Value, fields))
 			return
 		}
-		d.value(val, join(path, key.Value), f)
+		d.decodeValue(val, joinPath(path, key.Value), f)
 	})
 }
 
-// collect finds the fields of a struct by their tags, those of inlined structs
-// among them.
-func collect(v reflect.Value, fields map[string]reflect.Value) {
+// collectFields adds the fields of a struct to fields by their yaml tags, including those
+// of inlined structs.
+func collectFields(v reflect.Value, fields map[string]reflect.Value) {
 	for i := range v.NumField() {
 		name, option, _ := strings.Cut(v.Type().Field(i).Tag.Get("yaml"), ",")
 		switch {
 		case option == "inline":
-			collect(v.Field(i), fields)
+			collectFields(v.Field(i), fields)
 		case name != "" && name != "-":
 			fields[name] = v.Field(i)
 		}
 	}
 }
 
-func (d *Document) mapping(n *yaml.Node, path string, v reflect.Value) {
+func (d *Document) decodeMap(n *yaml.Node, path string, v reflect.Value) {
 	if v.IsNil() {
 		v.Set(reflect.MakeMap(v.Type()))
 	}
-	d.pairs(n, path, func(key, val *yaml.Node) {
+	d.eachPair(n, path, func(key, val *yaml.Node) {
 		e := reflect.New(v.Type().Elem()).Elem()
-		d.value(val, join(path, key.Value), e)
+		d.decodeValue(val, joinPath(path, key.Value), e)
 		v.SetMapIndex(reflect.ValueOf(key.Value).Convert(v.Type().Key()), e)
 	})
 }
 
-func (d *Document) sequence(n *yaml.Node, path string, v reflect.Value) {
+func (d *Document) decodeSlice(n *yaml.Node, path string, v reflect.Value) {
 	if n.Kind != yaml.SequenceNode {
 		d.report(n.Line, path, "want a list")
 		return
 	}
 	for i, c := range n.Content {
 		e := reflect.New(v.Type().Elem()).Elem()
-		d.value(c, join(path, strconv.Itoa(i)), e)
+		d.decodeValue(c, joinPath(path, strconv.Itoa(i)), e)
 		v.Set(reflect.Append(v, e))
 	}
 }
 
-func (d *Document) pairs(n *yaml.Node, path string, each func(key, val *yaml.Node)) {
+func (d *Document) eachPair(n *yaml.Node, path string, each func(key, val *yaml.Node)) {
 	if n.Kind == yaml.ScalarNode && n.Tag == "!!null" {
 		return
 	}
@@ -200,7 +203,7 @@
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key := n.Content[i]
 		if first, dup := seen[key.Value]; dup {
-			d.report(key.Line, join(path, key.Value), fmt.Sprintf("key stands twice, first at line %d", first))
+			d.report(key.Line, joinPath(path, key.Value), fmt.Sprintf("duplicate key, first defined at line %d", first))
 			continue
 		}
 		seen[key.Value] = key.Line
@@ -208,17 +211,17 @@
 	}
 }
 
-func nearest(key string, fields map[string]reflect.Value) string {
+func suggestion(key string, fields map[string]reflect.Value) string {
 	const maxDistance = 3
-	best, at := "", maxDistance+1
+	best, bestDistance := "", maxDistance+1
 	names := make([]string, 0, len(fields))
 	for name := range fields {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		if n := levenshtein.ComputeDistance(key, name); n < at {
-			best, at = name, n
+		if n := levenshtein.ComputeDistance(key, name); n < bestDistance {
+			best, bestDistance = name, n
 		}
 	}
 	if best == "" {
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,7 +1,7 @@
 // Package rendezvous orders nodes for a key by highest-random-weight hashing.
 //
-// Every process that knows the same nodes computes the same order, and a node
-// that comes or goes moves only the keys that it is first for.
+// Every process with the same set of nodes computes the same order. Adding or removing a
+// node moves only the keys for which that node is the first choice.
 package rendezvous
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score is the weight of node for key.
+// Score returns the weight of node for key.
 func Score(key, node string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -31,7 +31,7 @@
 	return x ^ x>>31
 }
 
-// Rank returns nodes ordered for key, the first choice first.
+// Rank returns nodes in the order of preference for key.
 func Rank(key string, nodes []string) []string {
 	type scored struct {
 		node  string
@@ -51,31 +51,31 @@
 	return out
 }
 
-// First returns the first choice for key, or the empty string without nodes.
+// First returns the first choice for key, or the empty string if there are no nodes.
 func First(key string, nodes []string) string {
-	best, at := "", uint64(0)
+	best, bestScore := "", uint64(0)
 	for _, n := range nodes {
 		s := Score(key, n)
-		if best == "" || s > at || s == at && n < best {
-			best, at = n, s
+		if best == "" || s > bestScore || s == bestScore && n < best {
+			best, bestScore = n, s
 		}
 	}
 	return best
 }
 
-// Position returns how many nodes come before self in the order for key.
+// Position returns how many nodes rank before self for key.
 func Position(key, self string, nodes []string) int {
-	mine, before := Score(key, self), 0
+	selfScore, before := Score(key, self), 0
 	for _, n := range nodes {
 		s := Score(key, n)
-		if n != self && (s > mine || s == mine && n < self) {
+		if n != self && (s > selfScore || s == selfScore && n < self) {
 			before++
 		}
 	}
 	return before
 }
 
-// Sorted returns the keys of m in order, for loops that must be repeatable.
+// Sorted returns the keys of m in order, for deterministic iteration.
 func Sorted[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
