--- a/cmd/poststand-load/main.go
+++ b/cmd/poststand-load/main.go
@@ -1,6 +1,6 @@
-// Command poststand-load sends an open-loop load to gateways, verifies every
-// answer and prints one line of key=value, or JSON. It exits non-zero if an
-// answer was wrong, lost or doubled, or a "not run" was false.
+// Command poststand-load sends an open-loop load to gateways, verifies every answer and
+// prints one line of key=value pairs, or JSON. It exits non-zero if an answer was wrong or
+// lost, an unsafe request ran twice, or a request reported as not run did run.
 package main
 
 import (
@@ -21,7 +21,7 @@
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
-	err := command().ExecuteContext(ctx)
+	err := newCommand().ExecuteContext(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "poststand-load:", err)
@@ -29,7 +29,7 @@
 	}
 }
 
-func command() *cobra.Command {
+func newCommand() *cobra.Command {
 	r := &load.Run{}
 	var asJSON bool
 	c := &cobra.Command{
@@ -42,41 +42,41 @@
 			if err != nil {
 				return err
 			}
-			if err := print(c, s, asJSON); err != nil {
+			if err := printSummary(c, s, asJSON); err != nil {
 				return err
 			}
-			if bad := s.Wrong + s.Lost + s.Doubled + s.FalseNotRun; bad > 0 {
-				return fault.New(fault.UpstreamFailed, fmt.Sprintf("%d requests broke a promise", bad))
+			if violations := s.Wrong + s.Lost + s.Doubled + s.FalseNotRun; violations > 0 {
+				return fault.New(fault.UpstreamFailed, fmt.Sprintf("%d requests were answered wrongly, lost, run twice or falsely reported as not run", violations))
 			}
 			return nil
 		},
 	}
 	f := c.Flags()
-	f.StringSliceVar(&r.Gateways, "gateway", nil, "URL of a gateway, any number")
-	f.StringSliceVar(&r.Ledgers, "ledger", nil, "URL of a stand-in with a ledger, any number")
-	f.StringSliceVar(&r.Services, "service", nil, "model service, any number")
-	f.StringSliceVar(&r.Plains, "plain", nil, "plain service, any number")
-	f.StringSliceVar(&r.Organisations, "organisation", nil, "organisation, any number")
-	f.Float64Var(&r.Rate, "rate", 50, "requests a second")
-	f.DurationVar(&r.For, "for", 10*time.Second, "how long requests arrive")
-	f.DurationVar(&r.BurstAt, "burst-at", 0, "when the burst begins")
-	f.DurationVar(&r.BurstFor, "burst-for", 0, "how long it lasts")
-	f.Float64Var(&r.BurstFactor, "burst-factor", 0, "times the rate during the burst")
+	f.StringSliceVar(&r.Gateways, "gateway", nil, "URL of a gateway; may be repeated")
+	f.StringSliceVar(&r.Ledgers, "ledger", nil, "URL of a stand-in with a ledger; may be repeated")
+	f.StringSliceVar(&r.Services, "service", nil, "model service; may be repeated")
+	f.StringSliceVar(&r.Plains, "plain", nil, "plain service; may be repeated")
+	f.StringSliceVar(&r.Organisations, "organisation", nil, "organisation; may be repeated")
+	f.Float64Var(&r.Rate, "rate", 50, "requests per second")
+	f.DurationVar(&r.For, "for", 10*time.Second, "duration of the load")
+	f.DurationVar(&r.BurstAt, "burst-at", 0, "start of the burst, from the start of the load")
+	f.DurationVar(&r.BurstFor, "burst-for", 0, "duration of the burst")
+	f.Float64Var(&r.BurstFactor, "burst-factor", 0, "factor on the rate during the burst")
 	f.DurationVar(&r.Timeout, "timeout", 5*time.Second, "deadline of each request")
 	f.IntVar(&r.Tokens, "tokens", 16, "tokens of an answer")
-	f.IntVar(&r.Mix.Whole, "whole", 4, "share of answers given whole")
+	f.IntVar(&r.Mix.Whole, "whole", 4, "share of answers that are not streamed")
 	f.IntVar(&r.Mix.Stream, "stream", 4, "share of streamed answers")
 	f.IntVar(&r.Mix.Plain, "plain-share", 1, "share of safe calls of plain services")
-	f.IntVar(&r.Mix.Unsafe, "unsafe-share", 1, "share of unsafe calls")
+	f.IntVar(&r.Mix.Unsafe, "unsafe-share", 1, "share of unsafe calls of plain services")
 	f.IntVar(&r.Mix.Keyed, "keyed-share", 0, "share of unsafe calls with a key, sent twice")
-	f.Uint64Var(&r.Seed, "seed", 1, "seed of what is drawn")
-	f.BoolVar(&r.GatewaysDie, "gateways-die", false, "count connections cut by a dead gateway apart")
+	f.Uint64Var(&r.Seed, "seed", 1, "seed of the random load")
+	f.BoolVar(&r.GatewaysDie, "gateways-die", false, "count connections lost with a killed gateway separately")
 	f.BoolVar(&asJSON, "json", false, "print JSON")
 	c.AddCommand(wayCommand())
 	return c
 }
 
-func print(c *cobra.Command, s *load.Summary, asJSON bool) error {
+func printSummary(c *cobra.Command, s *load.Summary, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(c.OutOrStdout()).Encode(s)
 	}
--- a/cmd/poststand-load/way.go
+++ b/cmd/poststand-load/way.go
@@ -8,16 +8,17 @@
 	"github.com/poststand/poststand/internal/way"
 )
 
-// wayCommand compares versions' ways to their boxes with what the links allow.
+// wayCommand simulates the distribution of versions and compares its time with the lower
+// bound that the links allow.
 func wayCommand() *cobra.Command {
 	var plans int
 	var first uint64
 	var each bool
 	c := &cobra.Command{
 		Use:   "way",
-		Short: "Play a version's way to its boxes over random plans of faults, in virtual time",
-		Long: "Plays the planner of weights over a described network, without faults and with faults\n" +
-			"drawn at random, and prints how long all boxes took over what the links allow at best.",
+		Short: "Simulate the distribution of a version with random faults, in virtual time",
+		Long: "Simulates the distribution of weights over random networks, without faults and with random\n" +
+			"faults, and prints the time until all boxes have a version, relative to the links' lower bound.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			w := c.OutOrStdout()
@@ -26,17 +27,17 @@
 				draw func(seed uint64) way.Scenario
 				n    int
 			}{{"no_faults", way.ScarceOrigin, max(1, plans/10)}, {"random", way.RandomScenario, max(1, plans)}} {
-				var ps []way.Scenario
+				var scenarios []way.Scenario
 				for i := range kind.n {
-					ps = append(ps, kind.draw(first+uint64(i)))
+					scenarios = append(scenarios, kind.draw(first+uint64(i)))
 				}
-				played := way.RunAll(ps)
+				results := way.RunAll(scenarios)
 				if each {
-					for _, p := range played {
+					for _, p := range results {
 						fmt.Fprintf(w, "ratio=%.3f all=%s half=%s bound=%s fetched=%d failed=%d %s\n", p.Ratio(), p.Last, p.Median, p.LowerBound, p.OriginChunks, p.OriginFailures, p.Scenario.String())
 					}
 				}
-				s := way.Summarize(played)
+				s := way.Summarize(results)
 				fmt.Fprintf(w, "plans=%s plays=%d median=%.3f most95=%.3f most=%.3f extra=%.4f across=%.3f failed=%.0f worst_seed=%d\n",
 					kind.name, s.Runs, s.Median, s.P95, s.Max, s.ExtraCopies, s.CrossHallCopies, s.FailuresPerRun, s.Worst.Scenario.Seed)
 			}
@@ -44,8 +45,8 @@
 		},
 	}
 	f := c.Flags()
-	f.IntVar(&plans, "plans", 100, "random plans; a tenth as many without faults")
-	f.Uint64Var(&first, "first", 0, "seed of the first plan")
-	f.BoolVar(&each, "each", false, "print a line for each play")
+	f.IntVar(&plans, "plans", 100, "simulations with random faults; a tenth as many run without faults")
+	f.Uint64Var(&first, "first", 0, "seed of the first simulation")
+	f.BoolVar(&each, "each", false, "print a line for each simulation")
 	return c
 }
--- a/internal/load/compare.go
+++ b/internal/load/compare.go
@@ -8,11 +8,11 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// compare reads the ledgers and holds them against what callers were told.
-func (r *Run) compare(ctx context.Context) error {
+// compareLedgers reads the ledgers and compares them with the results of the requests.
+func (r *Run) compareLedgers(ctx context.Context) error {
 	runs := map[string]int{}
 	for _, url := range r.Ledgers {
-		ledger, err := r.ledger(ctx, url)
+		ledger, err := r.fetchLedger(ctx, url)
 		if err != nil {
 			return err
 		}
@@ -25,21 +25,21 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for ref, t := range r.told {
+	for ref, t := range r.results {
 		if t.unsafe && runs[ref] > 1 {
-			r.sum.Doubled++
+			r.summary.Doubled++
 		}
 		if t.notRun && runs[ref] > 0 {
-			r.sum.FalseNotRun++
+			r.summary.FalseNotRun++
 		}
 		if t.answers > 0 && runs[ref] == 0 {
-			r.sum.Wrong++ // An answer to something that never ran.
+			r.summary.Wrong++ // An answer to a request that never ran.
 		}
 	}
 	return nil
 }
 
-func (r *Run) ledger(ctx context.Context, url string) (map[string]int, error) {
+func (r *Run) fetchLedger(ctx context.Context, url string) (map[string]int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/ledger", nil)
 	if err != nil {
 		return nil, fault.Wrap(fault.BadRequest, err, url)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -13,64 +13,64 @@
 	"github.com/poststand/poststand/fault"
 )
 
-// Mix is the share of each kind of request, in parts of their sum.
+// Mix holds the relative weight of each kind of request.
 type Mix struct {
-	Whole  int // Chat completions, answered whole.
+	Whole  int // Chat completions that are not streamed.
 	Stream int // Chat completions, streamed.
-	Plain  int // Calls of plain services, safe to repeat.
+	Plain  int // Calls of plain services that may be retried.
 	Unsafe int // Calls of plain services that must run at most once.
-	Keyed  int // The same, with an idempotency key, sent twice through two gateways.
+	Keyed  int // Unsafe calls with an idempotency key, each sent twice, through random gateways.
 }
 
-// Run is one load. Set its fields, then call Do.
+// Run describes one load. Set its fields, then call Do.
 type Run struct {
-	Gateways      []string // URLs.
+	Gateways      []string // URLs of the gateways.
 	Ledgers       []string // URLs of the stand-ins' ledgers.
 	Services      []string // Model services.
 	Plains        []string // Plain services.
 	Organisations []string
-	Rate          float64       // Requests a second.
-	For           time.Duration // How long requests arrive.
-	BurstAt       time.Duration // When the burst begins.
+	Rate          float64       // Requests per second.
+	For           time.Duration // Duration of the load.
+	BurstAt       time.Duration // Start of the burst, from the start of the load.
 	BurstFor      time.Duration
-	BurstFactor   float64 // Times Rate during the burst.
+	BurstFactor   float64 // Factor on Rate during the burst.
 	Timeout       time.Duration
 	Tokens        int
-	VaryTokens    bool // Answers have half of Tokens to one and a half times them.
-	Prefixes      int  // Prompts begin with one of so many system messages; 0 is none.
+	VaryTokens    bool // Draw the tokens of each answer from 0.5 to 1.5 times Tokens.
+	Prefixes      int  // Number of different system messages that prompts start with; 0 is none.
 	Mix           Mix
 	Seed          uint64
-	Client        *http.Client // Nil is one with many connections.
-	GatewaysDie   bool         // Gateways are killed: their callers' connections end as Cut, not Lost.
-
-	client *http.Client
-	mu     sync.Mutex
-	sum    Summary
-	told   map[string]told // By reference.
-	first  *hdrhistogram.Histogram
-	gap    *hdrhistogram.Histogram
-	whole  *hdrhistogram.Histogram
+	Client        *http.Client // If nil, a client with up to 512 idle connections per gateway is used.
+	GatewaysDie   bool         // Gateways are killed during the load: lost connections count as Cut, not Lost.
+
+	client     *http.Client
+	mu         sync.Mutex
+	summary    Summary
+	results    map[string]requestResult // Keyed by reference.
+	firstEvent *hdrhistogram.Histogram
+	eventGap   *hdrhistogram.Histogram
+	fullAnswer *hdrhistogram.Histogram
 }
 
-// told is what a caller learnt of a request.
-type told struct {
+// requestResult summarises the replies to a request.
+type requestResult struct {
 	unsafe  bool
-	answers int  // Whole answers.
-	notRun  bool // Every reply said "not run".
+	answers int  // Complete and correct answers.
+	notRun  bool // Every reply reported "not run".
 }
 
 // Summary is the result of a run.
 type Summary struct {
 	Sent        int            `json:"sent"`
 	Answers     int            `json:"answers"`
-	Wrong       int            `json:"wrong"`         // Answers that are not the request's own whole one.
-	Lost        int            `json:"lost"`          // Neither an answer nor a typed refusal.
+	Wrong       int            `json:"wrong"`         // Answers that are broken or not the expected one.
+	Lost        int            `json:"lost"`          // Requests with neither an answer nor an error with an outcome.
 	Doubled     int            `json:"doubled"`       // Unsafe requests that ran more than once.
-	FalseNotRun int            `json:"false_not_run"` // Told "not run", but in a ledger.
-	Cut         int            `json:"cut"`           // The gateway died before it answered.
-	Unknown     int            `json:"unknown"`       // Told that it may have run.
-	Refused     map[string]int `json:"refused"`       // Told "not run", by reason.
-	Versions    map[string]int `json:"versions"`      // Answers by the version that gave them.
+	FalseNotRun int            `json:"false_not_run"` // Requests reported as "not run" that are in a ledger.
+	Cut         int            `json:"cut"`           // Requests whose gateway died before it answered.
+	Unknown     int            `json:"unknown"`       // Requests reported as "unknown": they may have run.
+	Refused     map[string]int `json:"refused"`       // Refusals by reason; "unknown_" and "lost_" prefix those of Unknown and Lost.
+	Versions    map[string]int `json:"versions"`      // Answers by version.
 	FirstP50    float64        `json:"first_p50_ms"`
 	FirstP95    float64        `json:"first_p95_ms"`
 	FirstP99    float64        `json:"first_p99_ms"`
@@ -80,38 +80,38 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	const least, most, digits = 1, int64(10 * time.Minute / time.Microsecond), 3
-	return hdrhistogram.New(least, most, digits)
+	const lowest, highest, digits = 1, int64(10 * time.Minute / time.Microsecond), 3
+	return hdrhistogram.New(lowest, highest, digits)
 }
 
-// Do sends the load, waits for every answer and compares the ledgers.
+// Do sends the load, waits for every answer and compares the results with the ledgers.
 func (r *Run) Do(ctx context.Context) (*Summary, error) {
 	if len(r.Gateways) == 0 || r.Rate <= 0 {
-		return nil, fault.New(fault.BadRequest, "a load needs gateways and a rate")
+		return nil, fault.New(fault.BadRequest, "a load needs at least one gateway and a positive rate")
 	}
 	r.client = r.Client
 	if r.client == nil {
 		r.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 	}
-	r.told = map[string]told{}
-	r.sum = Summary{Refused: map[string]int{}, Versions: map[string]int{}}
-	r.first, r.gap, r.whole = newHistogram(), newHistogram(), newHistogram()
+	r.results = map[string]requestResult{}
+	r.summary = Summary{Refused: map[string]int{}, Versions: map[string]int{}}
+	r.firstEvent, r.eventGap, r.fullAnswer = newHistogram(), newHistogram(), newHistogram()
 	var wg sync.WaitGroup
 	rnd := rand.New(rand.NewPCG(r.Seed, 1))
-	begin := time.Now()
-	next := time.Duration(0)
-	for i := 0; next < r.For && ctx.Err() == nil; i++ {
-		time.Sleep(time.Until(begin.Add(next)))
-		q := r.draw(rnd, i)
+	start := time.Now()
+	offset := time.Duration(0)
+	for i := 0; offset < r.For && ctx.Err() == nil; i++ {
+		time.Sleep(time.Until(start.Add(offset)))
+		q := r.drawRequest(rnd, i)
 		wg.Go(func() { r.send(ctx, q) })
-		next += time.Duration(rnd.ExpFloat64() / r.rateAt(next) * float64(time.Second))
+		offset += time.Duration(rnd.ExpFloat64() / r.rateAt(offset) * float64(time.Second))
 	}
 	wg.Wait()
-	if err := r.compare(ctx); err != nil {
+	if err := r.compareLedgers(ctx); err != nil {
 		return nil, err
 	}
 	r.quantiles()
-	return &r.sum, nil
+	return &r.summary, nil
 }
 
 func (r *Run) rateAt(t time.Duration) float64 {
@@ -125,12 +125,12 @@
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 {
 		return float64(h.ValueAtQuantile(q)) / 1000
 	}
-	r.sum.FirstP50, r.sum.FirstP95, r.sum.FirstP99 = ms(r.first, 50), ms(r.first, 95), ms(r.first, 99)
-	r.sum.GapP95 = ms(r.gap, 95)
-	r.sum.WholeP50, r.sum.WholeP99 = ms(r.whole, 50), ms(r.whole, 99)
+	r.summary.FirstP50, r.summary.FirstP95, r.summary.FirstP99 = ms(r.firstEvent, 50), ms(r.firstEvent, 95), ms(r.firstEvent, 99)
+	r.summary.GapP95 = ms(r.eventGap, 95)
+	r.summary.WholeP50, r.summary.WholeP99 = ms(r.fullAnswer, 50), ms(r.fullAnswer, 99)
 }
 
-// kind of a request.
+// kind is the kind of a request.
 type kind int
 
 const (
@@ -141,23 +141,23 @@
 	kindKeyed
 )
 
-// query is one request to send.
-type query struct {
-	kind         kind
-	ref          string
-	service      string
-	gateway      string
-	again        string // The gateway of the repeat of a keyed request.
-	organisation string
-	prompt       string
-	tokens       int
-	system       string // The first message, or empty.
+// requestSpec describes one request to send.
+type requestSpec struct {
+	kind          kind
+	ref           string
+	service       string
+	gateway       string
+	repeatGateway string // The gateway for the second copy of a keyed request.
+	organisation  string
+	prompt        string
+	tokens        int
+	system        string // The system message, or empty.
 }
 
-func (r *Run) draw(rnd *rand.Rand, i int) query {
-	q := query{ref: fmt.Sprintf("%x-%d", r.Seed, i), kind: r.drawKind(rnd)}
+func (r *Run) drawRequest(rnd *rand.Rand, i int) requestSpec {
+	q := requestSpec{ref: fmt.Sprintf("%x-%d", r.Seed, i), kind: r.drawKind(rnd)}
 	q.gateway = r.Gateways[rnd.IntN(len(r.Gateways))]
-	q.again = r.Gateways[rnd.IntN(len(r.Gateways))]
+	q.repeatGateway = r.Gateways[rnd.IntN(len(r.Gateways))]
 	if len(r.Organisations) > 0 {
 		q.organisation = r.Organisations[rnd.IntN(len(r.Organisations))]
 	}
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -18,66 +18,67 @@
 	"github.com/poststand/poststand/internal/standin"
 )
 
-// reply is what came back for one request.
+// reply is the result of one HTTP request.
 type reply struct {
-	whole   bool // An answer that claims to be complete.
-	right   bool
-	version string
-	outcome string // Of a refusal: "not_run" or "unknown".
-	code    string
+	complete bool // The answer arrived to its end.
+	correct  bool
+	version  string
+	outcome  string // The outcome of a refusal: "not_run" or "unknown".
+	code     string
 }
 
-func (r *Run) send(ctx context.Context, q query) {
+func (r *Run) send(ctx context.Context, q requestSpec) {
 	gateways := []string{q.gateway}
 	if q.kind == kindKeyed {
-		gateways = append(gateways, q.again)
+		gateways = append(gateways, q.repeatGateway)
 	}
 	replies := make([]reply, len(gateways))
 	var wg sync.WaitGroup
 	for i, g := range gateways {
-		wg.Go(func() { replies[i] = r.one(ctx, q, g) })
+		wg.Go(func() { replies[i] = r.sendTo(ctx, q, g) })
 	}
 	wg.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := told{unsafe: q.kind >= kindUnsafe, notRun: true}
+	t := requestResult{unsafe: q.kind >= kindUnsafe, notRun: true}
 	for _, p := range replies {
-		r.sum.Sent++
+		r.summary.Sent++
 		switch {
-		case p.whole && p.right:
-			r.sum.Answers++
+		case p.complete && p.correct:
+			r.summary.Answers++
 			if p.version != "" {
-				r.sum.Versions[p.version]++
+				r.summary.Versions[p.version]++
 			}
 			t.answers++
-		case p.whole:
-			r.sum.Wrong++
+		case p.complete:
+			r.summary.Wrong++
 		case p.outcome == "not_run":
-			r.sum.Refused[p.code]++
+			r.summary.Refused[p.code]++
 		case p.outcome == "unknown":
-			r.sum.Unknown++
-			r.sum.Refused["unknown_"+p.code]++
+			r.summary.Unknown++
+			r.summary.Refused["unknown_"+p.code]++
 		case r.GatewaysDie && (p.code == codeConnection || p.code == codeTruncated):
-			r.sum.Cut++
+			r.summary.Cut++
 		default:
-			r.sum.Lost++
-			r.sum.Refused["lost_"+p.code]++
+			r.summary.Lost++
+			r.summary.Refused["lost_"+p.code]++
 		}
 		t.notRun = t.notRun && p.outcome == "not_run"
 	}
-	r.told[q.ref] = t
+	r.results[q.ref] = t
 }
 
-func (r *Run) one(ctx context.Context, q query, gw string) reply {
-	req, prompt, err := r.request(ctx, q, gw)
+func (r *Run) sendTo(ctx context.Context, q requestSpec, gw string) reply {
+	req, prompt, err := r.newRequest(ctx, q, gw)
 	if err != nil {
 		return reply{code: "request"}
 	}
-	began := time.Now()
+	start := time.Now()
 	resp, err := r.client.Do(req)
-	for tries := 0; refusedDial(err) && tries < len(r.Gateways); tries++ {
-		// As a balancer does: nobody listens there, so nothing was sent.
-		if req, prompt, err = r.request(ctx, q, r.Gateways[tries]); err != nil {
+	for attempt := 0; dialFailed(err) && attempt < len(r.Gateways); attempt++ {
+		// No connection was made, so nothing was sent and another gateway is safe to try, as
+		// a load balancer does.
+		if req, prompt, err = r.newRequest(ctx, q, r.Gateways[attempt]); err != nil {
 			return reply{code: "request"}
 		}
 		resp, err = r.client.Do(req)
@@ -87,55 +88,55 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.Header.Get(gateway.HeaderOutcome) != "ran" {
-		return refusal(resp)
+		return readRefusal(resp)
 	}
 	p := reply{version: resp.Header.Get(gateway.HeaderVersion)}
 	var text string
 	switch q.kind {
 	case kindStream:
-		text, p = r.readStream(resp.Body, began, p)
+		text, p = r.readStream(resp.Body, start, p)
 	case kindWhole:
-		text, p = r.readChat(resp.Body, began, p)
+		text, p = r.readChat(resp.Body, start, p)
 	default:
 		var a standin.PlainAnswer
 		if json.NewDecoder(resp.Body).Decode(&a) != nil {
 			return reply{code: codeTruncated}
 		}
-		p.whole = true
-		p.right = a.Service == q.service && a.Echo == standin.Answer(prompt, q.service, "", standin.PlainTokens)
+		p.complete = true
+		p.correct = a.Service == q.service && a.Echo == standin.Answer(prompt, q.service, "", standin.PlainTokens)
 	}
-	if p.whole && q.kind <= kindStream {
+	if p.complete && q.kind <= kindStream {
 		if p.version == "" {
-			p.version = p.code // From the answer itself.
+			p.version = p.code // The version from the body of the answer.
 		}
 		_, adapter, _ := strings.Cut(q.service, ":")
-		p.right = text == standin.Answer(prompt, p.version, adapter, q.tokens)
+		p.correct = text == standin.Answer(prompt, p.version, adapter, q.tokens)
 	}
-	r.record(func() { _ = r.whole.RecordValue(time.Since(began).Microseconds()) })
+	r.withLock(func() { _ = r.fullAnswer.RecordValue(time.Since(start).Microseconds()) })
 	return p
 }
 
-// Codes of replies that are neither answers nor typed refusals.
+// Codes of replies that are neither answers nor errors with an outcome.
 const (
 	codeConnection = "connection"
 	codeTruncated  = "truncated"
 )
 
-// refusedDial reports whether a connection could not be made at all.
-func refusedDial(err error) bool {
+// dialFailed reports whether err means that no connection was established.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (r *Run) record(fn func()) {
+func (r *Run) withLock(fn func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fn()
 }
 
-// request makes the HTTP request and returns the text that its answer is a
-// function of.
-func (r *Run) request(ctx context.Context, q query, gw string) (*http.Request, string, error) {
+// newRequest builds the HTTP request and returns the text from which the expected answer
+// is computed.
+func (r *Run) newRequest(ctx context.Context, q requestSpec, gw string) (*http.Request, string, error) {
 	var body any
 	path := "/services/" + q.service + "/run"
 	chat := standin.ChatRequest{
@@ -174,7 +175,7 @@
 	return req, string(data), nil
 }
 
-func refusal(resp *http.Response) reply {
+func readRefusal(resp *http.Response) reply {
 	var e gateway.ErrorBody
 	if json.NewDecoder(resp.Body).Decode(&e) != nil {
 		return reply{code: resp.Status}
@@ -182,65 +183,65 @@
 	return reply{outcome: e.Error.Outcome, code: string(e.Error.Code)}
 }
 
-func (r *Run) readChat(body io.Reader, began time.Time, p reply) (string, reply) {
+func (r *Run) readChat(body io.Reader, start time.Time, p reply) (string, reply) {
 	var c standin.Completion
 	if json.NewDecoder(body).Decode(&c) != nil || len(c.Choices) != 1 || c.Choices[0].Message == nil {
 		return "", reply{code: codeTruncated}
 	}
-	r.record(func() { _ = r.first.RecordValue(time.Since(began).Microseconds()) })
-	p.whole, p.code = true, c.Model
+	r.withLock(func() { _ = r.firstEvent.RecordValue(time.Since(start).Microseconds()) })
+	p.complete, p.code = true, c.Model
 	return c.Choices[0].Message.Content, p
 }
 
-// readStream collects a streamed answer. It is whole only with its last event.
-func (r *Run) readStream(body io.Reader, began time.Time, p reply) (string, reply) {
+// readStream reads a streamed answer, which is complete only with its last event.
+func (r *Run) readStream(body io.Reader, start time.Time, p reply) (string, reply) {
 	var text strings.Builder
-	last := began
+	last := start
 	sc := bufio.NewScanner(body)
-	failing := false
+	inError := false
 	for sc.Scan() {
 		line := sc.Text()
 		if line == "event: error" {
-			failing = true
+			inError = true
 		}
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
 		}
-		if failing {
+		if inError {
 			var e gateway.ErrorBody
 			if json.Unmarshal([]byte(data), &e) == nil {
 				return "", reply{outcome: e.Error.Outcome, code: string(e.Error.Code)}
 			}
 		}
 		if data == "[DONE]" {
-			p.whole = true
+			p.complete = true
 			continue
 		}
 		var c standin.Completion
 		if json.Unmarshal([]byte(data), &c) != nil || len(c.Choices) != 1 || c.Choices[0].Delta == nil {
-			return "", reply{whole: true} // A broken event is a wrong answer.
+			return "", reply{complete: true} // An invalid event counts as a wrong answer.
 		}
 		now := time.Now()
-		r.sample(text.Len() == 0, now.Sub(last))
+		r.recordEventDelay(text.Len() == 0, now.Sub(last))
 		last = now
 		text.WriteString(c.Choices[0].Delta.Content)
 		p.code = c.Model
 	}
-	if err := sc.Err(); err != nil && !errors.Is(err, io.EOF) && !p.whole {
+	if err := sc.Err(); err != nil && !errors.Is(err, io.EOF) && !p.complete {
 		return "", reply{code: codeTruncated}
 	}
-	if !p.whole {
+	if !p.complete {
 		return "", reply{code: "no_last_event"}
 	}
 	return text.String(), p
 }
 
-func (r *Run) sample(first bool, d time.Duration) {
-	r.record(func() {
-		h := r.gap
+func (r *Run) recordEventDelay(first bool, d time.Duration) {
+	r.withLock(func() {
+		h := r.eventGap
 		if first {
-			h = r.first
+			h = r.firstEvent
 		}
 		_ = h.RecordValue(d.Microseconds())
 	})
