--- a/cmd/poststand-standin/cmd/engine.go
+++ b/cmd/poststand-standin/cmd/engine.go
@@ -19,8 +19,8 @@
 		},
 	}
 	c.Flags().StringVar(&addr, "listen", "127.0.0.1:7200", "address")
-	c.Flags().DurationVar(&e.FirstToken, "first-token", 5*time.Millisecond, "before the first token")
-	c.Flags().DurationVar(&e.PerToken, "per-token", time.Millisecond, "between tokens")
+	c.Flags().DurationVar(&e.FirstToken, "first-token", 5*time.Millisecond, "delay before the first token")
+	c.Flags().DurationVar(&e.PerToken, "per-token", time.Millisecond, "delay between tokens")
 	c.Flags().IntVar(&e.Batch, "batch", 8, "requests that run at full speed")
 	c.Flags().BoolVar(&e.ChecksOrders, "checks-orders", false, "refuse an order with an older fence")
 	return c
@@ -38,6 +38,6 @@
 	}
 	c.Flags().StringVar(&addr, "listen", "127.0.0.1:7300", "address")
 	c.Flags().StringVar(&p.Name, "name", "plain", "name of the service")
-	c.Flags().DurationVar(&p.Takes, "takes", 2*time.Millisecond, "time for a request")
+	c.Flags().DurationVar(&p.Takes, "takes", 2*time.Millisecond, "duration of a request")
 	return c
 }
--- a/cmd/poststand-standin/cmd/origin.go
+++ b/cmd/poststand-standin/cmd/origin.go
@@ -32,24 +32,24 @@
 		},
 	}
 	c.Flags().StringVar(&addr, "listen", "127.0.0.1:7100", "address")
-	c.Flags().Float64Var(&o.Link, "link", 0, "bytes a second in all; 0 is no limit")
-	c.Flags().Float64Var(&o.BoxLink, "box-link", 0, "bytes a second to one address; 0 is no limit")
-	c.Flags().IntVar(&o.AtOnce, "at-once", 0, "requests at once; 0 is no limit")
-	c.Flags().StringSliceVar(&artifacts, "artifact", nil, "MODEL/VERSION:BYTES:CHUNK, any number")
+	c.Flags().Float64Var(&o.Link, "link", 0, "bytes per second in total; 0 is no limit")
+	c.Flags().Float64Var(&o.BoxLink, "box-link", 0, "bytes per second to one address; 0 is no limit")
+	c.Flags().IntVar(&o.MaxConcurrent, "at-once", 0, "concurrent requests; 0 is no limit")
+	c.Flags().StringSliceVar(&artifacts, "artifact", nil, "MODEL/VERSION:BYTES:CHUNK; may be repeated")
 	return c
 }
 
 func parseArtifact(text string) (standin.Artifact, error) {
-	bad := fault.New(fault.BadRequest, fmt.Sprintf("artifact %q: want MODEL/VERSION:BYTES:CHUNK", text))
+	badArtifact := fault.New(fault.BadRequest, fmt.Sprintf("artifact %q: want MODEL/VERSION:BYTES:CHUNK", text))
 	fields := strings.Split(text, ":")
 	model, version, ok := strings.Cut(fields[0], "/")
 	if !ok || len(fields) != 3 {
-		return standin.Artifact{}, bad
+		return standin.Artifact{}, badArtifact
 	}
 	size, err1 := strconv.Atoi(fields[1])
 	chunk, err2 := strconv.Atoi(fields[2])
 	if err1 != nil || err2 != nil || size < 1 || chunk < 1 {
-		return standin.Artifact{}, bad
+		return standin.Artifact{}, badArtifact
 	}
 	return standin.Artifact{Model: model, Version: version, Bytes: size, ChunkSize: chunk}, nil
 }
@@ -57,7 +57,7 @@
 func manifestCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "manifest MODEL/VERSION:BYTES:CHUNK",
-		Short: "Print the digest that a configuration pins",
+		Short: "Print the manifest digest for a configuration",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			a, err := parseArtifact(args[0])
--- a/cmd/poststand-standin/cmd/publish.go
+++ b/cmd/poststand-standin/cmd/publish.go
@@ -18,7 +18,7 @@
 	var platform, boxes string
 	c := &cobra.Command{
 		Use:   "publish [DIR]",
-		Short: "Publish the YAML files of a directory as one whole, or a fleet list",
+		Short: "Publish the YAML files of a directory as one revision, or a fleet list",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if boxes != "" {
--- a/cmd/poststand-standin/cmd/root.go
+++ b/cmd/poststand-standin/cmd/root.go
@@ -1,4 +1,4 @@
-// Package cmd holds the subcommands of poststand-standin.
+// Package cmd implements the subcommands of poststand-standin, which Main runs.
 package cmd
 
 import (
@@ -35,7 +35,7 @@
 	return 0
 }
 
-// serve runs h at each of the addresses until ctx ends.
+// serve serves h at each of the addresses until ctx is cancelled.
 func serve(ctx context.Context, addrs []string, h http.Handler) error {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
 	failed := make(chan error, len(addrs))
--- a/cmd/poststand-standin/main.go
+++ b/cmd/poststand-standin/main.go
@@ -1,4 +1,5 @@
-// Command poststand-standin runs the stand-ins for tests and the demo.
+// Command poststand-standin runs stand-ins for the external systems of poststand, for tests
+// and the demo.
 package main
 
 import (
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -7,15 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Token is word i of the answer to a prompt by a version of a model. It is a
-// fixed function, so that an answer that is cut, mixed, swapped or doubled is
-// told apart from a right one.
+// Token returns token i of the answer to a prompt by a version of a model. It is a fixed
+// function, so that truncated, mixed, swapped and duplicated answers can be detected.
 func Token(prompt, digest, adapter string, i int) string {
 	h := xxhash.Sum64String(prompt + "\x00" + digest + "\x00" + adapter + "\x00" + strconv.Itoa(i))
 	return strconv.FormatUint(h, 36) + " "
 }
 
-// Answer is the whole answer of n tokens.
+// Answer returns the complete answer of n tokens.
 func Answer(prompt, digest, adapter string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -24,13 +23,13 @@
 	return b.String()
 }
 
-// ChatRequest is the part of a chat completion request that is understood.
+// ChatRequest holds the supported fields of a chat completion request.
 type ChatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
 	MaxTokens int       `json:"max_tokens,omitempty"`
 	Stream    bool      `json:"stream,omitempty"`
-	User      string    `json:"user,omitempty"` // Taken as the reference in ledgers.
+	User      string    `json:"user,omitempty"` // Used as the reference in ledgers.
 }
 
 // Message is one message of a conversation.
@@ -39,7 +38,7 @@
 	Content string `json:"content"`
 }
 
-// Prompt joins the messages.
+// Prompt returns the roles and contents of all messages as one text.
 func (r *ChatRequest) Prompt() string {
 	var b strings.Builder
 	for _, m := range r.Messages {
@@ -50,7 +49,7 @@
 
 const defaultTokens = 16
 
-// Tokens returns how many tokens the answer has.
+// Tokens returns the number of tokens of the answer.
 func (r *ChatRequest) Tokens() int {
 	if r.MaxTokens <= 0 {
 		return defaultTokens
@@ -58,7 +57,7 @@
 	return r.MaxTokens
 }
 
-// Choice, Delta and Completion are the shapes of answers.
+// Choice is one choice of a completion, with a Message or, in a stream, a Delta.
 type Choice struct {
 	Index        int      `json:"index"`
 	Message      *Message `json:"message,omitempty"`
@@ -66,10 +65,10 @@
 	FinishReason string   `json:"finish_reason,omitempty"`
 }
 
-// Completion is an answer, or one event of a streamed one.
+// Completion is an answer, or one event of a streamed answer.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
-	Model   string   `json:"model"` // The digest of the version that answers.
+	Model   string   `json:"model"` // The digest of the version that made the answer.
 	Choices []Choice `json:"choices"`
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,36 +13,36 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// Engine is a stand-in for a model engine. It keeps no weights but the digest
-// that it computed from what it was sent.
+// Engine is a stand-in for a model engine. It pulls and verifies weights but keeps only
+// their digest.
 type Engine struct {
 	ChecksOrders bool          // Refuse orders with an older fence.
-	FirstToken   time.Duration // Before the first token of an answer.
-	PerToken     time.Duration // Between tokens while at most Batch run.
+	FirstToken   time.Duration // Delay before the first token of an answer.
+	PerToken     time.Duration // Delay between tokens while at most Batch requests run.
 	Batch        int           // Requests that run at full speed.
-	Prefixes     int           // Prompts' beginnings that are cached; a hit saves most of FirstToken.
+	Prefixes     int           // Size of the cache of prompt prefixes; a hit saves 70% of FirstToken.
 	Ledger       Ledger
-	HTTP         *http.Client // By which weights are pulled; nil is the default.
+	HTTP         *http.Client // Client that pulls weights; nil is the default client.
 
-	mu      sync.Mutex
-	state   engine.State
-	running int
-	streams map[string]*stream
-	cached  []string // The most recently used last.
-	hits    int
-	asked   int
+	mu           sync.Mutex
+	state        engine.State
+	running      int
+	streams      map[string]*stream
+	cached       []string // Cached prefixes, the most recently used last.
+	cacheHits    int
+	cacheLookups int
 }
 
-// stream is one answer in the making, kept so that it can be resumed.
+// stream is an answer that is being generated, kept so that it can be resumed.
 type stream struct {
-	digest  string
-	prompt  string
-	adapter string
-	tokens  []string
-	made    int
-	done    bool
-	cancel  bool
-	grow    chan struct{} // Closed and replaced when made rises or it ends.
+	digest    string
+	prompt    string
+	adapter   string
+	tokens    []string
+	generated int
+	done      bool
+	cancelled bool
+	progress  chan struct{} // Closed and replaced when generated increases, and closed at the end.
 }
 
 // ServeHTTP implements http.Handler.
@@ -53,7 +53,7 @@
 	mux.HandleFunc("POST /cancel/{id}", e.serveCancel)
 	mux.HandleFunc("POST /v1/chat/completions", e.serveChat)
 	mux.HandleFunc("GET /ledger", e.Ledger.serve)
-	mux.HandleFunc("POST /control/forget", func(http.ResponseWriter, *http.Request) { e.forget() })
+	mux.HandleFunc("POST /control/forget", func(http.ResponseWriter, *http.Request) { e.reset() })
 	mux.ServeHTTP(w, r)
 }
 
@@ -65,8 +65,8 @@
 	return s
 }
 
-// forget leaves the engine as a restart would, but for its ledger.
-func (e *Engine) forget() {
+// reset clears the engine's state, as a restart would, but keeps its ledger.
+func (e *Engine) reset() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state = engine.State{}
@@ -77,17 +77,17 @@
 	if !decode(w, r, &o) {
 		return
 	}
-	if !e.fence(o.Fence) {
+	if !e.acceptFence(o.Fence) {
 		http.Error(w, "order is fenced", http.StatusConflict)
 		return
 	}
 	switch o.Kind {
 	case engine.OrderLoad:
-		if err := e.load(o); err != nil {
+		if err := e.pullWeights(o); err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
 		}
-		e.swap(o)
+		e.installWeights(o)
 	case engine.OrderUnload:
 		e.mu.Lock()
 		e.state.Digest, e.state.Adapters = "", nil
@@ -100,8 +100,9 @@
 	reply(w, e.snapshot())
 }
 
-// fence takes an order's fence, or refuses one that is older.
-func (e *Engine) fence(f engine.Fence) bool {
+// acceptFence stores an order's fence. It reports false for an older fence if ChecksOrders
+// is set.
+func (e *Engine) acceptFence(f engine.Fence) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ChecksOrders && f.Before(e.state.Fence) {
@@ -111,21 +112,21 @@
 	return true
 }
 
-// swap puts new weights in place. What still runs goes on with them, and so
-// mixes versions, as an engine would that nobody keeps from it.
-func (e *Engine) swap(o engine.Order) {
+// installWeights switches to new weights. Running requests continue on them and so mix
+// versions, as a real engine's would if it is not drained first.
+func (e *Engine) installWeights(o engine.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state.Digest, e.state.Adapters, e.state.Role = o.Digest, o.Adapters, o.Role
 	for _, s := range e.streams {
-		for i := s.made; i < len(s.tokens); i++ {
+		for i := s.generated; i < len(s.tokens); i++ {
 			s.tokens[i] = Token(s.prompt, o.Digest, s.adapter, i)
 		}
 	}
 }
 
-// load pulls every artifact of an order and checks it whole.
-func (e *Engine) load(o engine.Order) error {
+// pullWeights pulls and verifies every chunk of the artifacts of an order.
+func (e *Engine) pullWeights(o engine.Order) error {
 	digests := []string{o.Digest}
 	for _, d := range o.Adapters {
 		digests = append(digests, d)
@@ -152,7 +153,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s := e.streams[r.PathValue("id")]; s != nil {
-		s.cancel = true
+		s.cancelled = true
 	}
 }
 
@@ -165,7 +166,7 @@
 	adapter := r.Header.Get(engine.HeaderAdapter)
 	var from int
 	_, _ = fmt.Sscan(r.Header.Get(engine.HeaderResume), &from)
-	s, status := e.open(id, adapter, &req, from > 0)
+	s, status := e.openStream(id, adapter, &req, from > 0)
 	if s == nil {
 		http.Error(w, http.StatusText(status), status)
 		return
@@ -178,7 +179,7 @@
 	n := 0
 	for n < len(s.tokens) {
 		var ok bool
-		if n, ok = e.await(r, s, n); !ok {
+		if n, ok = e.waitForTokens(r, s, n); !ok {
 			return
 		}
 	}
@@ -190,8 +191,8 @@
 	}})
 }
 
-// open starts a request, or finds the one to resume.
-func (e *Engine) open(id, adapter string, req *ChatRequest, resume bool) (*stream, int) {
+// openStream starts a request, or returns the stream to resume.
+func (e *Engine) openStream(id, adapter string, req *ChatRequest, resume bool) (*stream, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if resume {
@@ -200,7 +201,7 @@
 	if e.state.Digest == "" {
 		return nil, http.StatusServiceUnavailable
 	}
-	s := &stream{digest: e.state.Digest, prompt: req.Prompt(), adapter: adapter, grow: make(chan struct{})}
+	s := &stream{digest: e.state.Digest, prompt: req.Prompt(), adapter: adapter, progress: make(chan struct{})}
 	for i := range req.Tokens() {
 		s.tokens = append(s.tokens, Token(req.Prompt(), s.digest, adapter, i))
 	}
@@ -210,23 +211,23 @@
 	e.streams[id] = s
 	e.running++
 	e.Ledger.Started(req.User)
-	go e.generate(id, s, e.untilFirst(req))
+	go e.generate(id, s, e.firstTokenDelay(req))
 	return s, http.StatusOK
 }
 
-// untilFirst is how long the first token takes: less when the beginning of the
-// prompt, its first message, is cached. The caller holds e.mu.
-func (e *Engine) untilFirst(req *ChatRequest) time.Duration {
+// firstTokenDelay returns the delay before the first token, which is shorter if the
+// prefix of the prompt, its first message, is cached. The caller must hold e.mu.
+func (e *Engine) firstTokenDelay(req *ChatRequest) time.Duration {
 	if e.Prefixes == 0 || len(req.Messages) < 2 {
 		return e.FirstToken
 	}
-	const saved = 0.7
+	const savedFraction = 0.7
 	prefix := req.Messages[0].Content
-	e.asked++
+	e.cacheLookups++
 	if i := slices.Index(e.cached, prefix); i >= 0 {
-		e.hits++
+		e.cacheHits++
 		e.cached = append(slices.Delete(e.cached, i, i+1), prefix)
-		return e.FirstToken - time.Duration(saved*float64(e.FirstToken))
+		return e.FirstToken - time.Duration(savedFraction*float64(e.FirstToken))
 	}
 	e.cached = append(e.cached, prefix)
 	if len(e.cached) > e.Prefixes {
@@ -235,44 +236,44 @@
 	return e.FirstToken
 }
 
-// CacheHits returns how many prompts found their beginning cached, and of how
-// many.
-func (e *Engine) CacheHits() (hits, asked int) {
+// CacheHits returns the number of prefix cache hits and of lookups.
+func (e *Engine) CacheHits() (hits, lookups int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.hits, e.asked
+	return e.cacheHits, e.cacheLookups
 }
 
-// generate makes the tokens at the engine's pace, whoever listens.
+// generate produces the tokens at the engine's speed, whether or not a client reads them.
 func (e *Engine) generate(id string, s *stream, first time.Duration) {
 	time.Sleep(first)
 	for range s.tokens {
-		time.Sleep(e.pace())
+		time.Sleep(e.tokenInterval())
 		e.mu.Lock()
-		if s.cancel {
+		if s.cancelled {
 			e.mu.Unlock()
 			break
 		}
-		s.made++
-		close(s.grow)
-		s.grow = make(chan struct{})
+		s.generated++
+		close(s.progress)
+		s.progress = make(chan struct{})
 		e.mu.Unlock()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.done = true
-	close(s.grow)
+	close(s.progress)
 	e.running--
-	const resumable = 30 * time.Second
-	time.AfterFunc(resumable, func() {
+	const retention = 30 * time.Second
+	time.AfterFunc(retention, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		delete(e.streams, id)
 	})
 }
 
-// pace grows with the requests beyond a full batch.
-func (e *Engine) pace() time.Duration {
+// tokenInterval returns the delay between tokens, which grows in proportion to the running
+// requests if they exceed Batch.
+func (e *Engine) tokenInterval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.Batch > 0 && e.running > e.Batch {
@@ -281,11 +282,12 @@
 	return e.PerToken
 }
 
-// await returns how many tokens there are once it is more than n.
-func (e *Engine) await(r *http.Request, s *stream, n int) (int, bool) {
+// waitForTokens waits until more than n tokens are generated and returns their number. It
+// reports false if the stream or the request ends before.
+func (e *Engine) waitForTokens(r *http.Request, s *stream, n int) (int, bool) {
 	for {
 		e.mu.Lock()
-		made, done, grow := s.made, s.done, s.grow
+		made, done, grow := s.generated, s.done, s.progress
 		e.mu.Unlock()
 		if made > n || done {
 			return made, made > n
@@ -301,7 +303,7 @@
 func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *stream, id string, n int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for n < len(s.tokens) {
-		made, ok := e.await(r, s, n)
+		made, ok := e.waitForTokens(r, s, n)
 		if !ok {
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// Ledger remembers what ran: how often each reference was started.
+// Ledger counts how often the request with each reference was started.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// Started records that the request with a reference began to run.
+// Started records that the request with the given reference started to run.
 func (l *Ledger) Started(ref string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -21,7 +21,7 @@
 	l.runs[ref]++
 }
 
-// Runs returns how often each reference was started.
+// Runs returns how often the request with each reference was started.
 func (l *Ledger) Runs() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/origin.go
+++ b/internal/standin/origin.go
@@ -14,8 +14,8 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// Artifact names weights that the origin makes up: the same name, size and
-// chunk size give the same bytes everywhere.
+// Artifact describes generated weights: the same name, size and chunk size give the same
+// bytes in every process.
 type Artifact struct {
 	Model     string
 	Version   string
@@ -23,7 +23,7 @@
 	ChunkSize int
 }
 
-// Make returns the artifact's manifest, as bytes, and its chunks by digest.
+// Make generates the artifact and returns its encoded manifest and its chunks by digest.
 func (a Artifact) Make() ([]byte, map[string][]byte, error) {
 	seed := sha256.Sum256([]byte(a.Model + "/" + a.Version))
 	data := make([]byte, a.Bytes)
@@ -41,24 +41,24 @@
 	return b, chunks, nil
 }
 
-// Origin is a stand-in for the origin of weights with its rate-limited store.
+// Origin is a stand-in for the origin of weights, a rate-limited store.
 type Origin struct {
-	Link    float64 // Bytes a second in all; 0 is no limit.
-	BoxLink float64 // Bytes a second to one address; 0 is no limit.
-	AtOnce  int     // Requests at once; more get 429. 0 is no limit.
+	Link          float64 // Bytes per second in total; 0 is no limit.
+	BoxLink       float64 // Bytes per second to one address; 0 is no limit.
+	MaxConcurrent int     // Concurrent requests; more are refused with 429. 0 is no limit.
 
 	Sent    atomic.Int64
 	Refused atomic.Int64
 
-	mu    sync.Mutex
-	link  *rate.Limiter
-	boxes map[string]*rate.Limiter
-	blobs map[string][]byte
-	open  int
-	down  bool
+	mu       sync.Mutex
+	link     *rate.Limiter
+	boxes    map[string]*rate.Limiter
+	blobs    map[string][]byte
+	inFlight int
+	down     bool
 }
 
-// Add offers an artifact and returns the digest of its manifest.
+// Add generates an artifact, serves it and returns the digest of its manifest.
 func (o *Origin) Add(a Artifact) (string, error) {
 	manifest, chunks, err := a.Make()
 	if err != nil {
@@ -77,16 +77,16 @@
 	return d, nil
 }
 
-const burst = 64 << 10
+const limiterBurst = 64 << 10
 
 func limiter(l **rate.Limiter, perSecond float64) *rate.Limiter {
 	if *l == nil && perSecond > 0 {
-		*l = rate.NewLimiter(rate.Limit(perSecond), burst)
+		*l = rate.NewLimiter(rate.Limit(perSecond), limiterBurst)
 	}
 	return *l
 }
 
-func (o *Origin) enter(r *http.Request) (blob []byte, limits []*rate.Limiter, status int) {
+func (o *Origin) admit(r *http.Request) (blob []byte, limits []*rate.Limiter, status int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	blob, ok := o.blobs[r.PathValue("digest")]
@@ -95,11 +95,11 @@
 		return nil, nil, http.StatusServiceUnavailable
 	case !ok:
 		return nil, nil, http.StatusNotFound
-	case o.AtOnce > 0 && o.open >= o.AtOnce:
+	case o.MaxConcurrent > 0 && o.inFlight >= o.MaxConcurrent:
 		o.Refused.Add(1)
 		return nil, nil, http.StatusTooManyRequests
 	}
-	o.open++
+	o.inFlight++
 	host, _, _ := net.SplitHostPort(r.RemoteAddr)
 	if o.boxes == nil {
 		o.boxes = map[string]*rate.Limiter{}
@@ -110,10 +110,10 @@
 	return blob, limits, http.StatusOK
 }
 
-func (o *Origin) leave() {
+func (o *Origin) release() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.open--
+	o.inFlight--
 }
 
 // ServeHTTP implements http.Handler.
@@ -135,16 +135,16 @@
 }
 
 func (o *Origin) serveBlob(w http.ResponseWriter, r *http.Request) {
-	blob, limits, status := o.enter(r)
+	blob, limits, status := o.admit(r)
 	if status != http.StatusOK {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, http.StatusText(status), status)
 		return
 	}
-	defer o.leave()
+	defer o.release()
 	w.Header().Set("Content-Length", fmt.Sprint(len(blob)))
 	for len(blob) > 0 {
-		n := min(burst/2, len(blob))
+		n := min(limiterBurst/2, len(blob))
 		for _, l := range limits {
 			if l != nil && l.WaitN(r.Context(), n) != nil {
 				return
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -15,14 +15,14 @@
 	Ledger Ledger
 }
 
-// PlainAnswer is what a plain service answers.
+// PlainAnswer is the answer of a plain service.
 type PlainAnswer struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
-	Echo    string `json:"echo"` // Made from the body as Answer does.
+	Echo    string `json:"echo"` // The Answer to the body.
 }
 
-// PlainTokens is the length of a plain answer.
+// PlainTokens is the number of tokens in the Echo of a PlainAnswer.
 const PlainTokens = 64
 
 // ServeHTTP implements http.Handler.
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -15,20 +15,20 @@
 	"github.com/poststand/poststand/internal/feed"
 )
 
-// Mode is a fault of the platform.
+// Mode selects the simulated faults of the platform.
 type Mode struct {
 	Down  bool `json:"down"`  // Every call fails.
-	Stale bool `json:"stale"` // Reads show what stood when the mode was set.
+	Stale bool `json:"stale"` // Reads return the state from when the mode was set.
 }
 
-// Platform is a stand-in for the platform's service. The zero value is ready.
+// Platform is a stand-in for the platform's service. The zero value is ready for use.
 type Platform struct {
-	CallsPerSecond float64       // Over all readers; 2000 by default.
-	FleetLag       time.Duration // How late changes of the fleet list show.
+	CallsPerSecond float64       // Rate limit over all readers; 2000 by default.
+	FleetLag       time.Duration // Delay until changes of the fleet list become visible.
 
 	once    sync.Once
 	limit   *rate.Limiter
-	Calls   atomic.Int64 // Every call, a waiting watch as one.
+	Calls   atomic.Int64 // All calls; a long poll counts as one.
 	Refused atomic.Int64
 
 	mu      sync.Mutex
@@ -56,19 +56,19 @@
 	})
 }
 
-// Publish puts a whole in place and returns its revision.
+// Publish replaces the configuration documents and returns their revision.
 func (p *Platform) Publish(docs map[string][]byte) uint64 {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.head = feed.PlatformHead{Revision: p.head.Revision + 1, Docs: p.keep(docs)}
-	p.wake()
+	p.head = feed.PlatformHead{Revision: p.head.Revision + 1, Docs: p.storeDocs(docs)}
+	p.notifyWatchers()
 	return p.head.Revision
 }
 
-// keep holds documents by digest and returns the digests by name. The caller
-// holds p.mu.
-func (p *Platform) keep(docs map[string][]byte) map[string]string {
+// storeDocs stores documents by digest and returns the digests by name. The caller must
+// hold p.mu.
+func (p *Platform) storeDocs(docs map[string][]byte) map[string]string {
 	digests := map[string]string{}
 	for name, data := range docs {
 		d := config.DocumentDigest(data)
@@ -77,14 +77,14 @@
 	return digests
 }
 
-// SetFleet replaces the fleet list, which shows after FleetLag.
+// SetFleet replaces the fleet list; the change becomes visible after FleetLag.
 func (p *Platform) SetFleet(boxes map[string]fleet.Box) {
 	p.init()
 	set := func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.fleet = feed.PlatformFleet{Version: p.fleet.Version + 1, Boxes: boxes}
-		p.wake()
+		p.notifyWatchers()
 	}
 	if p.FleetLag == 0 {
 		set()
@@ -93,7 +93,7 @@
 	time.AfterFunc(p.FleetLag, set)
 }
 
-// SetMode switches a fault on or off.
+// SetMode sets the simulated faults.
 func (p *Platform) SetMode(m Mode) {
 	p.init()
 	p.mu.Lock()
@@ -105,21 +105,20 @@
 		p.stale = nil
 	}
 	p.mode = m
-	p.wake()
+	p.notifyWatchers()
 }
 
-// SetStale makes the platform show an older whole from now on, until a mode
-// without Stale is set.
+// SetStale makes reads return the given older revision until a mode without Stale is set.
 func (p *Platform) SetStale(revision uint64, docs map[string][]byte) {
 	p.init()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode.Stale = true
-	p.stale = &snapshot{feed.PlatformHead{Revision: revision, Docs: p.keep(docs)}, p.fleet}
-	p.wake()
+	p.stale = &snapshot{feed.PlatformHead{Revision: revision, Docs: p.storeDocs(docs)}, p.fleet}
+	p.notifyWatchers()
 }
 
-func (p *Platform) wake() {
+func (p *Platform) notifyWatchers() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -137,9 +136,9 @@
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.init()
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/config", p.counted(p.serveConfig))
-	mux.HandleFunc("GET /v1/fleet", p.counted(p.serveFleet))
-	mux.HandleFunc("GET /v1/docs/{digest}", p.counted(p.serveDoc))
+	mux.HandleFunc("GET /v1/config", p.rateLimited(p.serveConfig))
+	mux.HandleFunc("GET /v1/fleet", p.rateLimited(p.serveFleet))
+	mux.HandleFunc("GET /v1/docs/{digest}", p.rateLimited(p.serveDoc))
 	mux.HandleFunc("POST /control/publish", p.controlPublish)
 	mux.HandleFunc("POST /control/fleet", p.controlFleet)
 	mux.HandleFunc("POST /control/mode", p.controlMode)
@@ -147,7 +146,7 @@
 	mux.ServeHTTP(w, r)
 }
 
-func (p *Platform) counted(next http.HandlerFunc) http.HandlerFunc {
+func (p *Platform) rateLimited(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.Calls.Add(1)
 		if _, mode, _ := p.read(); mode.Down {
@@ -176,8 +175,8 @@
 	reply(w, s.fleet)
 }
 
-// wait returns once the version differs from the one known to the reader, or
-// its wait is over, or the platform goes down.
+// wait blocks a long poll until the version differs from the reader's known one, the
+// requested wait has passed, the request is cancelled or the platform goes down.
 func (p *Platform) wait(r *http.Request, version func(snapshot) uint64) {
 	known, _ := strconv.ParseUint(r.FormValue("known"), 10, 64)
 	wait, _ := time.ParseDuration(r.FormValue("wait"))
@@ -214,15 +213,15 @@
 	if !decode(w, r, &docs) {
 		return
 	}
-	whole := map[string][]byte{}
+	contents := map[string][]byte{}
 	for name, text := range docs {
 		if len(text) > config.MaxDocument {
 			http.Error(w, "document over 1 MB: "+name, http.StatusRequestEntityTooLarge)
 			return
 		}
-		whole[name] = []byte(text)
+		contents[name] = []byte(text)
 	}
-	reply(w, map[string]uint64{"revision": p.Publish(whole)})
+	reply(w, map[string]uint64{"revision": p.Publish(contents)})
 }
 
 func (p *Platform) controlFleet(w http.ResponseWriter, r *http.Request) {
