--- a/config/place_test.go
+++ b/config/place_test.go
@@ -15,7 +15,7 @@
 
 // Place assigns as many replicas as are configured and live boxes allow, reports the rest
 // as short, and assigns neither a leaving box nor one box to two services.
-func TestPlaceGivesWhatIsAskedFor(t *testing.T) {
+func TestPlaceAssignsConfiguredReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := map[string]fleet.Box{}
 		for i := range rapid.IntRange(0, 20).Draw(t, "boxes") {
--- a/internal/times/seconds_test.go
+++ b/internal/times/seconds_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestSeconds(t *testing.T) {
+func TestParseSeconds(t *testing.T) {
 	cases := []struct {
 		in   string
 		want time.Duration
@@ -44,7 +44,7 @@
 
 // No input gives a negative duration, or one above MaxDuration, which could overflow when
 // added to a point in time.
-func FuzzSeconds(f *testing.F) {
+func FuzzParseSeconds(f *testing.F) {
 	for _, s := range []string{"3", "0.5", "1e400", "+1", "1e-400", "..", "1e", "١"} {
 		f.Add(s)
 	}
