--- a/internal/times/seconds_test.go
+++ b/internal/times/seconds_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestSeconds(t *testing.T) {
+func TestParseSeconds(t *testing.T) {
 	cases := []struct {
 		in   string
 		want time.Duration
@@ -15,7 +15,7 @@
 	}{
 		{"3", 3 * time.Second, true},
 		{" 0.25 ", 250 * time.Millisecond, true},
-		{"0.0000000001", 1, true}, // Never less than was asked for.
+		{"0.0000000001", 1, true}, // Rounded up, so never shorter than requested.
 		{"1e1", 10 * time.Second, true},
 		{"0", 0, true},
 		{"99999999999", MaxDuration, true},
@@ -42,8 +42,9 @@
 	}
 }
 
-// No text makes a time below zero, or above what can be added to any time of day.
-func FuzzSeconds(f *testing.F) {
+// No input gives a negative duration, or one above MaxDuration, which could overflow when
+// added to a point in time.
+func FuzzParseSeconds(f *testing.F) {
 	for _, s := range []string{"3", "0.5", "1e400", "+1", "1e-400", "..", "1e", "١"} {
 		f.Add(s)
 	}
