--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -11,8 +11,8 @@
 	"github.com/poststand/poststand/route"
 )
 
-// A new request is let in while its answer will most likely be in time, one that comes
-// back where less waits.
+// A new request is admitted if its answer is likely to be in time; a retry is admitted only
+// with a shorter predicted queue wait.
 func TestAdmits(t *testing.T) {
 	const aim = 400 * time.Millisecond
 	engine := fleet.Upstream{Engine: true}
@@ -23,12 +23,12 @@
 		to      route.Choice
 		want    bool
 	}{
-		{"new, little ahead", aim, false, route.Choice{Upstream: engine, QueueWait: 200 * time.Millisecond}, true},
-		{"new, too much ahead", aim, false, route.Choice{Upstream: engine, QueueWait: 300 * time.Millisecond}, false},
-		{"back, little ahead", aim, true, route.Choice{Upstream: engine, QueueWait: 150 * time.Millisecond}, true},
-		{"back, as much as a new one may wait for", aim, true, route.Choice{Upstream: engine, QueueWait: 200 * time.Millisecond}, false},
-		{"a plain service", aim, true, route.Choice{QueueWait: time.Second}, true},
-		{"a route without an aim", 0, true, route.Choice{Upstream: engine, QueueWait: time.Second}, true},
+		{"new request, short wait", aim, false, route.Choice{Upstream: engine, QueueWait: 200 * time.Millisecond}, true},
+		{"new request, wait too long", aim, false, route.Choice{Upstream: engine, QueueWait: 300 * time.Millisecond}, false},
+		{"retry, short wait", aim, true, route.Choice{Upstream: engine, QueueWait: 150 * time.Millisecond}, true},
+		{"retry, wait allowed only for a new request", aim, true, route.Choice{Upstream: engine, QueueWait: 200 * time.Millisecond}, false},
+		{"plain service", aim, true, route.Choice{QueueWait: time.Second}, true},
+		{"route without a latency target", 0, true, route.Choice{Upstream: engine, QueueWait: time.Second}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/relay/believed_test.go
+++ b/internal/relay/believed_test.go
@@ -9,21 +9,21 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// A report may lie in a socket, and counts as of when it is read: a replica that came back
-// at the same address with the older version is believed to hold the newer one for a
-// while. A stream that may not be resumed is sent on that belief shortly before the end,
-// and waits there: it must not begin on the older version.
+// A report that was delayed in a socket counts from when it is read. So a replica that has
+// restarted at the same address with the older version may still count as holding the newer
+// one. A stream that can't be resumed is sent there shortly before the deadline of the older
+// version and is queued. It must not start on the older version.
 func TestStreamForTheNewerVersionDoesNotBeginOnTheOlder(t *testing.T) {
 	check := is.New(t)
-	rs := []*platformtest.Replica{oneSlot()}
+	rs := []*platformtest.Replica{singleSlotEngine()}
 	late := []string(nil)
 	once := platformtest.Route("once", "/once/", "stream", "llm", platformtest.Body{"resumable": false})
-	run(t, 1, rs, func(_ *is.I, w *world) {
-		w.store.Put("op/config", platformtest.Config(2, once))
-		w.agents(func(*platformtest.Replica) uint64 { return 2 })
-		named := w.queueBeforeTheEnd("/once/")
+	runCluster(t, 1, rs, func(_ *is.I, cl *testCluster) {
+		cl.store.Put("op/config", platformtest.Config(2, once))
+		cl.startAgents(func(*platformtest.Replica) uint64 { return 2 })
+		supersededAt := cl.queueBeforeDeadline("/once/")
 		time.Sleep(versionWithin)
-		late = beganLate(rs, named)
+		late = startedLate(rs, supersededAt)
 	})
 	check.Equal(late, nil)
 }
--- a/internal/relay/copy_test.go
+++ b/internal/relay/copy_test.go
@@ -9,63 +9,63 @@
 	"github.com/matryer/is"
 )
 
-// copies are ways in which the store loses changes and what is lost is written again, from
-// before readers ask to long after.
-var copies = []struct{ lost, away, after int }{
+// restoreCases are the numbers of changes that the restored backup lacks, and that are written
+// again during and after the outage of the store.
+var restoreCases = []struct{ lost, duringOutage, afterOutage int }{
 	{lost: 1},
-	{lost: 4, after: 1},
-	{lost: 4, away: 2},
-	{lost: 4, away: 4},
-	{lost: 4, away: 9},
-	{lost: 12, away: 1, after: 3},
-	{lost: 12, away: 12, after: 1},
+	{lost: 4, afterOutage: 1},
+	{lost: 4, duringOutage: 2},
+	{lost: 4, duringOutage: 4},
+	{lost: 4, duringOutage: 9},
+	{lost: 12, duringOutage: 1, afterOutage: 3},
+	{lost: 12, duringOutage: 12, afterOutage: 1},
 }
 
-// playCopies plays a test before six gateways in three halls after each way.
-func playCopies(t *testing.T, play func(w *world)) {
-	for _, c := range copies {
-		t.Run(fmt.Sprintf("lost %d, %d written while away, %d after", c.lost, c.away, c.after), func(t *testing.T) {
-			run(t, 0, plain(3), func(_ *is.I, w *world) {
-				w.startHalls()
-				w.changes(c.lost)
-				time.Sleep(time.Second) // All have heard of them.
-				w.store.Refuse(http.StatusServiceUnavailable)
-				w.store.RestoreFromBackup(c.lost)
-				w.changes(c.away)
+// runRestoreCases runs a test after each of restoreCases, on six gateways in three halls.
+func runRestoreCases(t *testing.T, test func(cl *testCluster)) {
+	for _, c := range restoreCases {
+		t.Run(fmt.Sprintf("%d changes lost, %d written during the outage, %d after it", c.lost, c.duringOutage, c.afterOutage), func(t *testing.T) {
+			runCluster(t, 0, plainReplicas(3), func(_ *is.I, cl *testCluster) {
+				cl.startHalls()
+				cl.writeChanges(c.lost)
+				time.Sleep(time.Second) // All gateways have received them.
+				cl.store.Refuse(http.StatusServiceUnavailable)
+				cl.store.RestoreFromBackup(c.lost)
+				cl.writeChanges(c.duringOutage)
 				time.Sleep(1500 * time.Millisecond)
-				w.store.Refuse(0)
+				cl.store.Refuse(0)
 				time.Sleep(200 * time.Millisecond)
-				w.changes(c.after)
+				cl.writeChanges(c.afterOutage)
 				time.Sleep(800 * time.Millisecond)
-				play(w)
+				test(cl)
 			})
 		})
 	}
 }
 
 // startHalls starts six gateways in three halls.
-func (w *world) startHalls() {
-	w.halls = 3
+func (cl *testCluster) startHalls() {
+	cl.hallCount = 3
 	for i := range 6 {
-		w.addGateway(i, w.storeOf(i))
+		cl.addGateway(i, cl.storeFor(i))
 	}
 	time.Sleep(3 * time.Second)
 }
 
-// slowly has each answer of a store take its time.
-func slowly(store http.Handler) http.Handler {
-	const takes = 5 * time.Millisecond
+// withLatency adds latency to each response of a store.
+func withLatency(store http.Handler) http.Handler {
+	const latency = 5 * time.Millisecond
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		time.Sleep(takes)
+		time.Sleep(latency)
 		store.ServeHTTP(rw, r)
 	})
 }
 
-// storeOf is the store as a gateway reaches it.
-func (w *world) storeOf(gateway int) http.Handler {
-	store := slowly(w.store)
+// storeFor returns a handler that serves the store to a gateway; see soleStoreClient.
+func (cl *testCluster) storeFor(gateway int) http.Handler {
+	store := withLatency(cl.store)
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		if only := w.only.Load(); only > 0 && only != int64(gateway+1) {
+		if sole := cl.soleStoreClient.Load(); sole > 0 && sole != int64(gateway+1) {
 			rw.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -73,20 +73,20 @@
 	})
 }
 
-// changes has a replica write so many times.
-func (w *world) changes(n int) {
+// writeChanges writes the entry of replica p2 n times.
+func (cl *testCluster) writeChanges(n int) {
 	for range n {
-		w.store.Put("servers/p2", w.replicas[2].Record("ready"))
+		cl.store.Put("servers/p2", cl.replicas[2].Record("ready"))
 	}
 }
 
 func TestConfigurationThatFollowsACopyIsInForce(t *testing.T) {
-	playCopies(t, func(w *world) {
-		w.store.Put("op/config", withoutSafe(2))
+	runRestoreCases(t, func(cl *testCluster) {
+		cl.store.Put("op/config", configWithoutSafe(2))
 		time.Sleep(2 * time.Second)
-		for i := range w.gateways {
-			if got := w.ask(i, "GET", "/safe/", nil).status; got != http.StatusNotFound {
-				w.t.Errorf("gateway %d: a route that was taken away is answered %d", i, got)
+		for i := range cl.gateways {
+			if got := cl.send(i, "GET", "/safe/", nil).status; got != http.StatusNotFound {
+				cl.t.Errorf("gateway %d: status %d for a route that has been removed", i, got)
 			}
 		}
 	})
@@ -94,22 +94,22 @@
 
 func TestChangeAtARevisionGivenOutAgainIsHeard(t *testing.T) {
 	const lost = 4
-	for _, more := range []int{0, lost - 1, lost, 3 * lost} {
-		t.Run(fmt.Sprint(more, " changes follow"), func(t *testing.T) {
-			run(t, 0, plain(3), func(_ *is.I, w *world) {
-				w.startHalls()
-				w.changes(lost)
+	for _, following := range []int{0, lost - 1, lost, 3 * lost} {
+		t.Run(fmt.Sprint(following, " changes follow"), func(t *testing.T) {
+			runCluster(t, 0, plainReplicas(3), func(_ *is.I, cl *testCluster) {
+				cl.startHalls()
+				cl.writeChanges(lost)
 				time.Sleep(time.Second)
-				w.store.Refuse(http.StatusServiceUnavailable)
-				w.store.RestoreFromBackup(lost)
-				w.store.Put("op/config", withoutSafe(2))
-				w.changes(more)
+				cl.store.Refuse(http.StatusServiceUnavailable)
+				cl.store.RestoreFromBackup(lost)
+				cl.store.Put("op/config", configWithoutSafe(2))
+				cl.writeChanges(following)
 				time.Sleep(time.Second)
-				w.store.Refuse(0)
+				cl.store.Refuse(0)
 				time.Sleep(2 * time.Second)
-				for i := range w.gateways {
-					if got := w.ask(i, "GET", "/safe/", nil).status; got != http.StatusNotFound {
-						w.t.Errorf("gateway %d: a route that was taken away is answered %d", i, got)
+				for i := range cl.gateways {
+					if got := cl.send(i, "GET", "/safe/", nil).status; got != http.StatusNotFound {
+						cl.t.Errorf("gateway %d: status %d for a route that has been removed", i, got)
 					}
 				}
 			})
@@ -117,48 +117,49 @@
 	}
 }
 
-func TestReplicaThatLeavesAfterACopyIsLeftAlone(t *testing.T) {
-	const each = 8 // Requests at each gateway.
-	playCopies(t, func(w *world) {
-		leaving := w.replicas[0]
-		w.store.Put("servers/p0", leaving.Record("draining"))
+func TestReplicaThatLeavesAfterARestoreGetsNoRequests(t *testing.T) {
+	const perGateway = 8 // Requests sent to each gateway.
+	runRestoreCases(t, func(cl *testCluster) {
+		leaving := cl.replicas[0]
+		cl.store.Put("servers/p0", leaving.Record("draining"))
 		time.Sleep(2 * time.Second)
 		before := leaving.RequestCount()
-		for i := range w.gateways {
-			for range each {
-				w.ask(i, "GET", "/safe/", nil)
+		for i := range cl.gateways {
+			for range perGateway {
+				cl.send(i, "GET", "/safe/", nil)
 			}
 		}
 		if n := leaving.RequestCount() - before; n > 0 {
-			w.t.Errorf("%d requests reach a replica that said 2 s ago that it leaves", n)
+			cl.t.Errorf("%d requests reached a replica that began draining 2 s before", n)
 		}
 	})
 }
 
-// Without an era nobody can tell that what a read brings is newer.
+// If the store sends no era, gateways can't determine whether the records that they read are newer
+// than theirs. They must not read again and again.
 func TestReadersOfACopyThatNamesNoEraPauseBetweenReads(t *testing.T) {
-	run(t, 0, plain(3), func(_ *is.I, w *world) {
-		const lasts, each = 5, 12 // Seconds, and calls a second of a hall.
-		w.store.OmitEra.Store(true)
-		w.startHalls()
-		w.drill(func() { w.changes(6) })
+	runCluster(t, 0, plainReplicas(3), func(_ *is.I, cl *testCluster) {
+		const seconds, maxCallsPerSecond = 5, 12 // Calls per second are counted per hall.
+		cl.store.OmitEra.Store(true)
+		cl.startHalls()
+		cl.restoreWithout(func() { cl.writeChanges(6) })
 		time.Sleep(2 * time.Second)
-		calls := w.store.Calls()
-		time.Sleep(lasts * time.Second)
-		if calls = w.store.Calls() - calls; calls > lasts*each*w.halls {
-			w.t.Errorf("%d calls in %d s in which nothing changes", calls, lasts)
+		calls := cl.store.Calls()
+		time.Sleep(seconds * time.Second)
+		if calls = cl.store.Calls() - calls; calls > seconds*maxCallsPerSecond*cl.hallCount {
+			cl.t.Errorf("%d calls to the store in %d s without changes", calls, seconds)
 		}
 	})
 }
 
-func TestReadersOfACopyPauseBetweenReads(t *testing.T) {
-	playCopies(t, func(w *world) {
-		const lasts, each = 5, 12 // Seconds, and calls a second of a hall.
-		calls, pages := w.store.Calls(), w.store.PageReads()
-		time.Sleep(lasts * time.Second)
-		calls, pages = w.store.Calls()-calls, w.store.PageReads()-pages
-		if calls > lasts*each*w.halls || pages > 0 {
-			w.t.Errorf("%d calls, of them %d pages of all records, in %d s in which nothing changes", calls, pages, lasts)
+func TestReadersPauseBetweenReadsAfterARestore(t *testing.T) {
+	runRestoreCases(t, func(cl *testCluster) {
+		const seconds, maxCallsPerSecond = 5, 12 // Calls per second are counted per hall.
+		calls, pages := cl.store.Calls(), cl.store.PageReads()
+		time.Sleep(seconds * time.Second)
+		calls, pages = cl.store.Calls()-calls, cl.store.PageReads()-pages
+		if calls > seconds*maxCallsPerSecond*cl.hallCount || pages > 0 {
+			cl.t.Errorf("%d calls to the store, %d of them page reads, in %d s without changes", calls, pages, seconds)
 		}
 	})
 }
--- a/internal/relay/copy_versions_test.go
+++ b/internal/relay/copy_versions_test.go
@@ -10,50 +10,50 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// A naming that a copy lacks counts from when it was made, whether it is made again or not, at
-// those that knew of it and at one that starts meanwhile.
-func TestNamingThatACopyLacksKeepsItsTime(t *testing.T) {
-	const early, overdue = 5 * time.Second, 8200 * time.Millisecond
-	name := func(w *world) {
-		w.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
+// A change of the target version that the backup lacks counts from when it was made, whether it is
+// made again or not. This holds for gateways that received it and for one that starts meanwhile.
+func TestVersionChangeMissingFromTheBackupKeepsItsTime(t *testing.T) {
+	const beforeDeadline, afterDeadline = 5 * time.Second, 8200 * time.Millisecond
+	setTarget := func(cl *testCluster) {
+		cl.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
 	}
 	cases := []struct {
 		name  string
-		after func(w *world)
+		after func(cl *testCluster)
 	}{
-		{"not made again", func(*world) {}},
-		{"made again soon", name},
-		{"made again late", func(w *world) { time.AfterFunc(4*time.Second, func() { name(w) }) }},
-		{"a newer one is made", func(w *world) {
-			time.AfterFunc(time.Second, func() { w.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 3}) })
+		{"not set again", func(*testCluster) {}},
+		{"set again soon", setTarget},
+		{"set again late", func(cl *testCluster) { time.AfterFunc(4*time.Second, func() { setTarget(cl) }) }},
+		{"a newer version is set", func(cl *testCluster) {
+			time.AfterFunc(time.Second, func() { cl.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 3}) })
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			check := is.New(t)
 			var before, after []int
-			among(t, engines(2, 2), func(w *world) {
-				var named time.Time
-				w.drill(func() {
-					named = time.Now()
-					name(w)
+			runInHalls(t, engines(2, 2), func(cl *testCluster) {
+				var supersededAt time.Time
+				cl.restoreWithout(func() {
+					supersededAt = time.Now()
+					setTarget(cl)
 				})
-				c.after(w)
+				c.after(cl)
 				time.Sleep(time.Second)
-				w.addGateway(6, w.storeOf(6))
-				for i := range w.gateways {
-					w.tellVersion(i, 1)
+				cl.addGateway(6, cl.storeFor(6))
+				for i := range cl.gateways {
+					cl.reportVersion(i, 1)
 				}
-				ask := func() (out []int) {
-					for i := range w.gateways {
-						out = append(out, w.ask(i, "POST", "/s/", nil).status)
+				sendToAll := func() (out []int) {
+					for i := range cl.gateways {
+						out = append(out, cl.send(i, "POST", "/s/", nil).status)
 					}
 					return out
 				}
-				time.Sleep(time.Until(named.Add(early)))
-				before = ask()
-				time.Sleep(time.Until(named.Add(overdue)))
-				after = ask()
+				time.Sleep(time.Until(supersededAt.Add(beforeDeadline)))
+				before = sendToAll()
+				time.Sleep(time.Until(supersededAt.Add(afterDeadline)))
+				after = sendToAll()
 			})
 			for i := range before {
 				check.Equal(before[i], http.StatusOK)
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -10,169 +10,171 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// Members saw drafts break off for minutes. One request ended each replica that ran it: a
-// gateway sent it to a second replica, which ended too, and answered 502; the caller tried
-// again, with a new id and at another gateway, which knew nothing. 40 replicas stopped
-// answering in 14 s, and the drafts of others broke off with them. The lines showed eight
-// tries of one stream sent in 4.3 s, by four gateways, and each of the twelve sends lost
-// without a first event. Cause: what a try learns of the end of a replica was gone with it.
+// A request that crashes every replica which runs it must not be sent on. Without quarantine, a
+// gateway sends it to a second replica, which crashes too, and answers 502; the caller retries
+// with a new ID at another gateway, which has no record of the crashes. One such stream was sent
+// eight times in 4.3 s by four gateways, twelve times to replicas, each without a first event.
+// 40 replicas stopped responding within 14 s, and the streams of other callers were lost with them.
 func TestRequestThatEndsReplicasIsNotSentOnAndOn(t *testing.T) {
-	run(t, 4, engines(8, 3), func(is *is.I, w *world) {
-		c := w.crashOn()
-		last := w.tries(fatal, crashSpan, 0, 1, 2, 3)
-		c.judge()
-		is.Equal(last.status, http.StatusServiceUnavailable) // It has not run and is not going to.
-		for i := range w.gateways {
-			is.True(w.isQuarantined(i, fatal))
-			is.Equal(w.ask(i, "POST", "/s/sound", nil).status, http.StatusOK)
+	runCluster(t, 4, engines(8, 3), func(is *is.I, cl *testCluster) {
+		c := cl.injectCrashes()
+		last := cl.sendRepeatedly(fatalTarget, callerRetrySpan, 0, 1, 2, 3)
+		c.checkLateRuns()
+		is.Equal(last.status, http.StatusServiceUnavailable) // It was not run.
+		for i := range cl.gateways {
+			is.True(cl.isQuarantined(i, fatalTarget))
+			is.Equal(cl.send(i, "POST", "/s/sound", nil).status, http.StatusOK)
 		}
 	})
 }
 
-// The same where a try may be sent to one replica only: each of three tries ends one.
-func TestRequestThatEndsOneReplicaATry(t *testing.T) {
-	run(t, 4, engines(8, 3), func(is *is.I, w *world) {
-		w.store.Put("op/config", platformtest.Config(2, platformtest.Route("s", "/s/", "stream", "llm", platformtest.Body{"attempts": 1})))
+// The same on a route with one attempt per request: each of three requests crashes one replica.
+func TestFatalRequestOnARouteWithOneAttempt(t *testing.T) {
+	runCluster(t, 4, engines(8, 3), func(is *is.I, cl *testCluster) {
+		cl.store.Put("op/config", platformtest.Config(2, platformtest.Route("s", "/s/", "stream", "llm", platformtest.Body{"attempts": 1})))
 		time.Sleep(time.Second)
-		c := w.crashOn()
-		w.tries(fatal, crashSpan, 0, 1, 2, 3)
-		c.judge()
-		is.True(w.isQuarantined(0, fatal))
+		c := cl.injectCrashes()
+		cl.sendRepeatedly(fatalTarget, callerRetrySpan, 0, 1, 2, 3)
+		c.checkLateRuns()
+		is.True(cl.isQuarantined(0, fatalTarget))
 	})
 }
 
-// All gateways are killed one after the other and start anew: those that start know what
-// the others knew.
+// All gateways are restarted one after the other. Each must receive the quarantined requests from
+// the others.
 func TestStartedGatewaysKnowOfQuarantine(t *testing.T) {
-	run(t, 3, engines(8, 3), func(is *is.I, w *world) {
-		c := w.crashOn()
-		w.tries(fatal, 3*time.Second, 0, 1, 2)
+	runCluster(t, 3, engines(8, 3), func(is *is.I, cl *testCluster) {
+		c := cl.injectCrashes()
+		cl.sendRepeatedly(fatalTarget, 3*time.Second, 0, 1, 2)
 		for i := range 3 {
-			w.restart(i)
+			cl.restart(i)
 			time.Sleep(1500 * time.Millisecond)
-			w.tries(fatal, 2*time.Second, i)
-			is.True(w.isQuarantined(i, fatal))
+			cl.sendRepeatedly(fatalTarget, 2*time.Second, i)
+			is.True(cl.isQuarantined(i, fatalTarget))
 		}
-		c.judge()
+		c.checkLateRuns()
 	})
 }
 
-// A gateway that was cut off from all, or stood still, while others learnt of the request
-// knows of it within the time that is granted after the return.
+// A request is quarantined while a gateway is cut off from the others. The gateway must quarantine
+// it within propagationBound after it is connected again.
 func TestGatewayThatWasAwayLearnsOfQuarantine(t *testing.T) {
-	run(t, 4, engines(8, 3), func(is *is.I, w *world) {
-		c := w.crashOn()
-		away := func(stalled bool) {
+	runCluster(t, 4, engines(8, 3), func(is *is.I, cl *testCluster) {
+		c := cl.injectCrashes()
+		stall := func(stalled bool) {
 			for i := range 3 {
-				w.net.Stall(gatewayAddr(3), gatewayAddr(i), stalled)
+				cl.net.Stall(gatewayAddr(3), gatewayAddr(i), stalled)
 			}
 		}
-		away(true)
-		w.tries(fatal, 6*time.Second, 0, 1, 2)
-		away(false)
-		time.Sleep(knownIn)
-		is.True(w.isQuarantined(3, fatal))
-		c.judge()
+		stall(true)
+		cl.sendRepeatedly(fatalTarget, 6*time.Second, 0, 1, 2)
+		stall(false)
+		time.Sleep(propagationBound)
+		is.True(cl.isQuarantined(3, fatalTarget))
+		c.checkLateRuns()
 	})
 }
 
-// A gateway that is cut off from the others but not from replicas finds out by itself.
-func TestGatewayThatIsAloneFindsOut(t *testing.T) {
-	run(t, 4, engines(12, 3), func(is *is.I, w *world) {
-		c := w.crashOn()
+// A gateway that is cut off from the others, but not from replicas, must quarantine the request by
+// its own records.
+func TestIsolatedGatewayQuarantines(t *testing.T) {
+	runCluster(t, 4, engines(12, 3), func(is *is.I, cl *testCluster) {
+		c := cl.injectCrashes()
 		for i := range 3 {
-			w.net.Stall(gatewayAddr(3), gatewayAddr(i), true)
+			cl.net.Stall(gatewayAddr(3), gatewayAddr(i), true)
 		}
-		w.tries(fatal, 6*time.Second, 3)
-		is.True(w.isQuarantined(3, fatal))
-		is.True(len(c.ends) <= 5) // Two ends of a try within 0.15 s say no more than one.
+		cl.sendRepeatedly(fatalTarget, 6*time.Second, 3)
+		is.True(cl.isQuarantined(3, fatalTarget))
+		is.True(len(c.crashTimes) <= 5) // Two crashes in one request, within 0.15 s, count as one.
 	})
 }
 
-// soundlyWhile plays soundly before 16 replicas while something ends them.
-func soundlyWhile(t *testing.T, ends func(c *crashes)) {
+// runHarmless runs sendHarmless on a cluster of 16 replicas while crash terminates some of them.
+func runHarmless(t *testing.T, crash func(c *crashInjector)) {
 	t.Helper()
-	run(t, 4, engines(16, 8), func(_ *is.I, w *world) {
-		c := w.crashOn()
-		go ends(c)
-		w.soundly(12 * time.Second)
+	runCluster(t, 4, engines(16, 8), func(_ *is.I, cl *testCluster) {
+		c := cl.injectCrashes()
+		go crash(c)
+		cl.sendHarmless(12 * time.Second)
 	})
 }
 
-// Replicas end for other causes too: many at one moment, again and again, or under a request
-// beside which others run. Those do no harm and are not refused for it.
-func TestSoundRequestsAreNotQuarantined(t *testing.T) {
+// Replicas terminate for other reasons too: many at one moment, repeatedly, or under a fatal
+// request while they run others. Harmless requests must not be quarantined for that.
+func TestHarmlessRequestsAreNotQuarantined(t *testing.T) {
 	cases := []struct {
-		name string
-		ends func(c *crashes)
+		name  string
+		crash func(c *crashInjector)
 	}{
-		{"half at one moment", func(c *crashes) {
+		{"half at one moment", func(c *crashInjector) {
 			for range 3 {
-				for _, r := range c.w.living()[:8] {
-					c.end(r)
+				for _, r := range c.cl.running()[:8] {
+					c.crash(r)
 				}
 				time.Sleep(4 * time.Second)
 			}
 		}},
-		{"all at one moment", func(c *crashes) {
+		{"all at one moment", func(c *crashInjector) {
 			for range 3 {
-				for _, r := range c.w.living() {
-					c.end(r)
+				for _, r := range c.cl.running() {
+					c.crash(r)
 				}
 				time.Sleep(4 * time.Second)
 			}
 		}},
-		{"beside a fatal request", func(c *crashes) { c.w.tries(fatal, 8*time.Second, 0, 1, 2, 3) }},
+		{"under a fatal request", func(c *crashInjector) { c.cl.sendRepeatedly(fatalTarget, 8*time.Second, 0, 1, 2, 3) }},
 	}
 	for _, tc := range cases {
-		t.Run(tc.name, func(t *testing.T) { soundlyWhile(t, tc.ends) })
+		t.Run(tc.name, func(t *testing.T) { runHarmless(t, tc.crash) })
 	}
 }
 
-// The same where replicas end one after the other, four a second, without a word. A request
-// was at three of them, and its gateway knew of six at the most that ended about then, where
-// there were ten: what others see of ends under requests that were answered for long is not told.
+// The same for replicas that terminate one after the other, four a second, without notice. A
+// request ran on three of them, and its gateway had records of at most six of the ten that
+// terminated around those times: terminations under requests whose answers had been in progress
+// for long were not sent to other gateways.
 func TestSoundRequestsInARollAreNotQuarantined(t *testing.T) {
-	soundlyWhile(t, func(c *crashes) {
-		for _, r := range c.w.living() {
-			c.end(r)
+	runHarmless(t, func(c *crashInjector) {
+		for _, r := range c.cl.running() {
+			c.crash(r)
 			time.Sleep(250 * time.Millisecond)
 		}
 	})
 }
 
-// A lost connection to a replica that lives says nothing of the request.
+// Connections that break while the replica keeps running are no evidence against the request.
 func TestResetsQuarantineNothing(t *testing.T) {
-	run(t, 2, engines(4, 3), func(is *is.I, w *world) {
-		for _, r := range w.replicas {
+	runCluster(t, 2, engines(4, 3), func(is *is.I, cl *testCluster) {
+		for _, r := range cl.replicas {
 			r.Handle = func(_ int, x *platformtest.Exchange) bool {
 				x.RecordRun()
 				_ = x.Conn.Close()
 				return true
 			}
 		}
-		w.tries("/s/lost", 5*time.Second, 0, 1)
-		is.True(!w.isQuarantined(0, "/s/lost"))
+		cl.sendRepeatedly("/s/lost", 5*time.Second, 0, 1)
+		is.True(!cl.isQuarantined(0, "/s/lost"))
 	})
 }
 
-// A replica ends under requests of one gateway, that were answered for long and so are not
-// suspect. All gateways know of the end: one that has sent nothing there is told.
+// A replica terminates under a request of one gateway whose answer has been in progress for long,
+// so that the request is no suspect. All gateways must record the termination, also those that
+// sent the replica nothing.
 func TestEachEndIsTold(t *testing.T) {
-	rs, told := engines(2, 60), 0
-	run(t, 3, rs, func(_ *is.I, w *world) {
-		c := w.crashOn()
-		go w.ask(0, "POST", "/s/long", nil)
+	rs, recorded := engines(2, 60), 0
+	runCluster(t, 3, rs, func(_ *is.I, cl *testCluster) {
+		c := cl.injectCrashes()
+		go cl.send(0, "POST", "/s/long", nil)
 		time.Sleep(2 * time.Second)
 		for _, r := range rs {
 			if len(r.Runs()) > 0 {
-				c.end(r)
+				c.crash(r)
 			}
 		}
 		time.Sleep(500 * time.Millisecond)
-		for i := range w.gateways {
-			told += w.gateways[i].KnownEnds()
+		for i := range cl.gateways {
+			recorded += cl.gateways[i].KnownTerminations()
 		}
 	})
-	is.New(t).Equal(told, 3)
+	is.New(t).Equal(recorded, 3)
 }
--- a/internal/relay/crashes_test.go
+++ b/internal/relay/crashes_test.go
@@ -13,103 +13,105 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// fatal is the target of requests that end each replica which begins to run them.
-const fatal = "/s/fatal"
+// fatalTarget is the target of requests that crash each replica which starts to run them.
+const fatalTarget = "/s/fatal"
 
-// Times of replicas that crash, and of callers that try again.
+// Times of replicas that crash, and of callers that retry.
 const (
-	crashAfter = 80 * time.Millisecond   // A fatal request has run for so long by then.
-	backAfter  = 2 * time.Second         // The next incarnation starts.
-	lapseAfter = 3600 * time.Millisecond // The entry of the last one goes.
-	tryEvery   = 500 * time.Millisecond  // Between two tries of a caller, each at another gateway.
-	crashSpan  = 20 * time.Second        // Of tries.
+	crashAfter          = 80 * time.Millisecond   // From the start of a fatal request.
+	restartAfter        = 2 * time.Second         // Until the next incarnation starts.
+	delistAfter         = 3600 * time.Millisecond // Until the entry of the crashed incarnation is deleted.
+	callerRetryInterval = 500 * time.Millisecond  // Between two requests of a caller, each to another gateway.
+	callerRetrySpan     = 20 * time.Second        // For which a caller retries.
 )
 
-// The users' rule: when a request has ended so many replicas, all gateways that are in touch
-// must know of it within a time, and send it no more often than that afterwards.
+// The required bounds: once a request has crashed maxTerminations replicas, all connected gateways
+// must quarantine it within propagationBound, and send it at most maxTerminations times after
+// that.
 const (
-	allowed = 3
-	knownIn = 3 * time.Second
+	maxTerminations  = 3
+	propagationBound = 3 * time.Second
 )
 
-// crashes is what replicas that end under requests have seen.
-type crashes struct {
-	w *world
+// crashInjector crashes and restarts replicas, and records the runs of fatal requests.
+type crashInjector struct {
+	cl *testCluster
 
-	mu   sync.Mutex
-	ends []time.Time // Of replicas under a fatal request.
-	runs []time.Time // A fatal request began to run.
-	next int
+	mu         sync.Mutex
+	crashTimes []time.Time // When replicas crashed under a fatal request.
+	runTimes   []time.Time // When fatal requests started to run.
+	crashCount int
 }
 
-// crashOn has all replicas end under fatal requests.
-func (w *world) crashOn() *crashes {
-	c := &crashes{w: w}
-	for _, r := range w.replicas {
-		r.CrashOn = c.under
+// injectCrashes makes all replicas crash under fatal requests.
+func (cl *testCluster) injectCrashes() *crashInjector {
+	c := &crashInjector{cl: cl}
+	for _, r := range cl.replicas {
+		r.CrashOn = c.crashIfFatal
 	}
 	return c
 }
 
-// under ends the replica if the request is fatal.
-func (c *crashes) under(x *platformtest.Exchange) bool {
-	if !strings.HasPrefix(x.Request.RequestURI, fatal) {
+// crashIfFatal crashes the replica if the request is fatal.
+func (c *crashInjector) crashIfFatal(x *platformtest.Exchange) bool {
+	if !strings.HasPrefix(x.Request.RequestURI, fatalTarget) {
 		return false
 	}
 	c.mu.Lock()
-	c.runs = append(c.runs, time.Now())
+	c.runTimes = append(c.runTimes, time.Now())
 	c.mu.Unlock()
 	time.Sleep(crashAfter)
 	c.mu.Lock()
-	c.ends = append(c.ends, time.Now())
+	c.crashTimes = append(c.crashTimes, time.Now())
 	c.mu.Unlock()
-	c.end(x.Replica)
+	c.crash(x.Replica)
 	return true
 }
 
-// end crashes a replica; it is back a while later as another incarnation.
-func (c *crashes) end(r *platformtest.Replica) {
-	w := c.w
-	w.net.Remove(r.Addr)
+// crash crashes a replica, which starts again later as another incarnation.
+func (c *crashInjector) crash(r *platformtest.Replica) {
+	cl := c.cl
+	cl.net.Remove(r.Addr)
 	c.mu.Lock()
-	c.next++
+	c.crashCount++
 	next := &platformtest.Replica{
-		ID: fmt.Sprintf("%s-%d", r.Addr, c.next), Service: r.Service, Addr: r.Addr, Hall: r.Hall, Version: r.Version,
+		ID: fmt.Sprintf("%s-%d", r.Addr, c.crashCount), Service: r.Service, Addr: r.Addr, Hall: r.Hall, Version: r.Version,
 		Events: r.Events, EventInterval: r.EventInterval, Slots: r.Slots, CrashOn: r.CrashOn,
 	}
 	c.mu.Unlock()
-	w.addReplica(next)
-	time.AfterFunc(lapseAfter, func() { w.store.Delete("servers/" + r.ID) })
-	time.AfterFunc(backAfter, func() {
-		w.net.Add(&simnet.End{Name: next.Addr, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: next.Serve})
-		w.store.Put("servers/"+next.ID, next.Record("ready"))
+	cl.addReplica(next)
+	time.AfterFunc(delistAfter, func() { cl.store.Delete("servers/" + r.ID) })
+	time.AfterFunc(restartAfter, func() {
+		cl.net.Add(&simnet.End{Name: next.Addr, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: next.Serve})
+		cl.store.Put("servers/"+next.ID, next.Record("ready"))
 	})
 }
 
-// judge fails the test if a fatal request was sent on and on.
-func (c *crashes) judge() {
-	if n := c.late(); n > allowed {
-		c.w.t.Errorf("a request under which three replicas had ended ran %d times more; %d ended in all", n, len(c.ends))
+// checkLateRuns fails the test if fatal requests ran more than maxTerminations times after the
+// propagation bound.
+func (c *crashInjector) checkLateRuns() {
+	if n := c.lateRuns(); n > maxTerminations {
+		c.cl.t.Errorf("a request that had crashed three replicas ran %d more times; %d replicas crashed in all", n, len(c.crashTimes))
 	}
 }
 
-// addReplica adds one that starts while the test plays.
-func (w *world) addReplica(r *platformtest.Replica) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.replicas = append(w.replicas, r)
+// addReplica adds a replica that starts during the test.
+func (cl *testCluster) addReplica(r *platformtest.Replica) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.replicas = append(cl.replicas, r)
 }
 
-func (w *world) allReplicas() []*platformtest.Replica {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.replicas)
+func (cl *testCluster) allReplicas() []*platformtest.Replica {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return slices.Clone(cl.replicas)
 }
 
-// living returns the replicas that run.
-func (w *world) living() (out []*platformtest.Replica) {
+// running returns the current incarnation of each replica.
+func (cl *testCluster) running() (out []*platformtest.Replica) {
 	newest := map[string]*platformtest.Replica{}
-	for _, r := range w.allReplicas() {
+	for _, r := range cl.allReplicas() {
 		newest[r.Addr] = r
 	}
 	for _, r := range newest {
@@ -118,96 +120,97 @@
 	return out
 }
 
-// late counts the runs of fatal requests that began after all had to know of three ends.
-func (c *crashes) late() int {
+// lateRuns returns the number of runs of fatal requests that started after the propagation bound.
+func (c *crashInjector) lateRuns() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.ends) < allowed {
+	if len(c.crashTimes) < maxTerminations {
 		return 0
 	}
 	n := 0
-	for _, at := range c.runs {
-		if at.Sub(c.ends[allowed-1]) > knownIn {
+	for _, at := range c.runTimes {
+		if at.Sub(c.crashTimes[maxTerminations-1]) > propagationBound {
 			n++
 		}
 	}
 	return n
 }
 
-// tries has a caller ask for the same again and again, each time with a new id and at
-// another of some gateways, and returns the last answer. What was refused as not run must
-// not have run.
-func (w *world) tries(target string, span time.Duration, gateways ...int) (last reply) {
-	w.t.Helper()
+// sendRepeatedly sends a request again and again for the span, each time with a new ID and to the
+// next of the gateways, and returns the last reply. It fails the test if a request ran that was
+// refused as not run.
+func (cl *testCluster) sendRepeatedly(target string, span time.Duration, gateways ...int) (last reply) {
+	cl.t.Helper()
 	refused := map[string]bool{}
-	for i := 0; i < int(span/tryEvery); i++ {
+	for i := 0; i < int(span/callerRetryInterval); i++ {
 		at := time.Now()
 		id := fmt.Sprintf("%s#%d@%v", target, i, gateways)
-		last = w.ask(gateways[i%len(gateways)], "POST", target, map[string]string{"X-Attempt-Id": id})
+		last = cl.send(gateways[i%len(gateways)], "POST", target, map[string]string{"X-Attempt-Id": id})
 		refused[id] = last.status == http.StatusServiceUnavailable
-		time.Sleep(time.Until(at.Add(tryEvery)))
+		time.Sleep(time.Until(at.Add(callerRetryInterval)))
 	}
-	for _, r := range w.allReplicas() {
+	for _, r := range cl.allReplicas() {
 		for _, run := range r.Runs() {
 			if refused[run.ID] {
-				w.t.Errorf("%s was refused as not run and ran on %s", run.ID, r.ID)
+				cl.t.Errorf("%s was refused as not run, but ran on %s", run.ID, r.ID)
 			}
 		}
 	}
 	return last
 }
 
-// isQuarantined reports whether a gateway refuses a request for long.
-func (w *world) isQuarantined(gateway int, target string) bool {
-	const long = 60 // Seconds; other refusals are for less.
-	got := w.ask(gateway, "POST", target, map[string]string{"X-Attempt-Id": "asked"})
-	in, _ := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
-	return got.status == http.StatusServiceUnavailable && in > long
+// isQuarantined reports whether a gateway refuses a request for as long as only a quarantine lasts.
+func (cl *testCluster) isQuarantined(gateway int, target string) bool {
+	const minSeconds = 60 // The retry delay of other refusals is shorter.
+	got := cl.send(gateway, "POST", target, map[string]string{"X-Attempt-Id": "asked"})
+	seconds, _ := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
+	return got.status == http.StatusServiceUnavailable && seconds > minSeconds
 }
 
-// restart kills a gateway and starts it anew.
-func (w *world) restart(i int) {
-	w.stops[i]()
-	w.addGateway(i, w.store)
-	last := len(w.gateways) - 1
-	w.gateways[i], w.stops[i] = w.gateways[last], w.stops[last]
-	w.gateways, w.stops = w.gateways[:last], w.stops[:last]
+// restart kills a gateway and starts it again.
+func (cl *testCluster) restart(i int) {
+	cl.stops[i]()
+	cl.addGateway(i, cl.store)
+	last := len(cl.gateways) - 1
+	cl.gateways[i], cl.stops[i] = cl.gateways[last], cl.stops[last]
+	cl.gateways, cl.stops = cl.gateways[:last], cl.stops[:last]
 }
 
-// soundly has callers ask for what does no harm, at all gateways: a request that many make
-// alike, and others that differ, each of which is asked for again until it is served.
-func (w *world) soundly(span time.Duration) {
-	const every, patience = 20 * time.Millisecond, 8
-	var all sync.WaitGroup
-	for i := range int(span / every) {
+// sendHarmless sends harmless requests to all gateways: one target that many callers share, and
+// many with a target of their own. Each is retried until it is served. It fails the test if any
+// of them is quarantined afterwards.
+func (cl *testCluster) sendHarmless(span time.Duration) {
+	const interval, maxTries = 20 * time.Millisecond, 8
+	var wg sync.WaitGroup
+	for i := range int(span / interval) {
 		target := "/s/alike"
 		if i%2 == 0 {
 			target = fmt.Sprintf("/s/own/%d", i)
 		}
-		all.Go(func() {
-			for try := range patience {
-				g := (i + try) % len(w.gateways)
-				if got := w.ask(g, "POST", target, map[string]string{"X-Attempt-Id": fmt.Sprintf("%d.%d", i, try)}); got.status == http.StatusOK && !got.cut {
+		wg.Go(func() {
+			for try := range maxTries {
+				g := (i + try) % len(cl.gateways)
+				if got := cl.send(g, "POST", target, map[string]string{"X-Attempt-Id": fmt.Sprintf("%d.%d", i, try)}); got.status == http.StatusOK && !got.truncated {
 					return
 				}
 				time.Sleep(300 * time.Millisecond)
 			}
 		})
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
-	all.Wait()
+	wg.Wait()
 	quarantined := 0
-	for g := range w.gateways {
-		if w.isQuarantined(g, "/s/alike") {
+	for g := range cl.gateways {
+		if cl.isQuarantined(g, "/s/alike") {
 			quarantined++
 		}
 	}
-	for i := 0; i < int(span/every); i += 2 { // All gateways know of the same ones by now.
-		if w.isQuarantined(i/2%len(w.gateways), fmt.Sprintf("/s/own/%d", i)) {
+	for i := 0; i < int(span/interval); i += 2 { // All gateways have the same records by now, so one gateway is asked for each.
+		if cl.isQuarantined(i/2%len(cl.gateways), fmt.Sprintf("/s/own/%d", i)) {
 			quarantined++
 		}
 	}
 	if quarantined > 0 {
-		w.t.Errorf("%d sound requests were quarantined", quarantined)
+		cl.t.Errorf("%d harmless requests were quarantined", quarantined)
 	}
 }
--- a/internal/relay/drain_test.go
+++ b/internal/relay/drain_test.go
@@ -17,7 +17,7 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// pipeListener accepts what its test dials.
+// pipeListener accepts the connections that a test puts into conns.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -40,76 +40,76 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// lateConn hands on what it read only some time later, as when a process has taken
-// bytes from the kernel and has not come to look at them.
-type lateConn struct {
+// delayedConn returns the bytes that it has read after a delay, like a process that has read them
+// from the kernel and is not scheduled to handle them yet.
+type delayedConn struct {
 	net.Conn
-	by time.Duration
+	delay time.Duration
 }
 
-func (c *lateConn) Read(b []byte) (int, error) {
+func (c *delayedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if n > 1 { // One byte is the server's look for a caller that goes away.
-		time.Sleep(c.by)
+	if n > 1 { // The server reads a single byte to detect that the caller has disconnected.
+		time.Sleep(c.delay)
 	}
 	return n, err
 }
 
-const request = "GET /safe/ HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\nX-Deadline-Ms: 6000\r\nAuthorization: Bearer k\r\n\r\n"
+const rawRequest = "GET /safe/ HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\nX-Deadline-Ms: 6000\r\nAuthorization: Bearer k\r\n\r\n"
 
-// A gateway that is told to stop answers each request that it has read, and ends
-// connections only while no request is under way on them.
+// A stopping gateway answers each request that it has read, and closes connections only while no
+// request is in progress on them.
 func TestStoppingGatewayAnswersWhatItHasRead(t *testing.T) {
 	cases := []struct {
-		name   string
-		rests  bool          // An answer was given on the connection before.
-		asks   time.Duration // When the request is sent after the stop; negative is before.
-		late   time.Duration // For how long it lies read.
-		answer bool
+		name      string
+		reused    bool          // A request has been answered on the connection before.
+		sendAfter time.Duration // When the request is sent, relative to the stop.
+		readDelay time.Duration // How long the request is delayed after it has been read.
+		answered  bool
 	}{
-		{"read as the process is told to stop", true, -10 * time.Millisecond, 50 * time.Millisecond, true},
-		{"first of its connection, read as the process is told to stop", false, -10 * time.Millisecond, 50 * time.Millisecond, true},
-		{"on a new connection while the balancer has not noticed", false, time.Second, 0, true},
-		{"read as a new connection's time ends", false, 3190 * time.Millisecond, 100 * time.Millisecond, true},
-		{"on a connection that rested", true, time.Second, 0, false},
-		{"on a new connection that rested", false, 4 * time.Second, 0, false},
+		{"read just before the stop", true, -10 * time.Millisecond, 50 * time.Millisecond, true},
+		{"first on its connection, read just before the stop", false, -10 * time.Millisecond, 50 * time.Millisecond, true},
+		{"on a new connection before the load balancer notices", false, time.Second, 0, true},
+		{"read as a new connection is about to be closed", false, 3190 * time.Millisecond, 100 * time.Millisecond, true},
+		{"on an idle connection", true, time.Second, 0, false},
+		{"on a new connection that was idle too long", false, 4 * time.Second, 0, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			run(t, 1, plain(1), func(is *is.I, w *world) {
+			runCluster(t, 1, plainReplicas(1), func(is *is.I, cl *testCluster) {
 				ln := &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 				stop, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				done := make(chan error, 1)
-				go func() { done <- w.gateways[0].ServeCallers(stop, context.Background(), ln) }()
+				go func() { done <- cl.gateways[0].ServeCallers(stop, context.Background(), ln) }()
 				caller, server := net.Pipe()
 				defer func() { _ = caller.Close() }()
-				ln.conns <- &lateConn{server, tc.late}
+				ln.conns <- &delayedConn{server, tc.readDelay}
 				r := bufio.NewReader(caller)
-				if tc.rests {
-					is.NoErr(exchange(caller, r))
+				if tc.reused {
+					is.NoErr(roundTrip(caller, r))
 				}
-				if tc.asks < 0 {
-					time.AfterFunc(-tc.asks, cancel)
+				if tc.sendAfter < 0 {
+					time.AfterFunc(-tc.sendAfter, cancel)
 				} else {
 					cancel()
-					time.Sleep(tc.asks)
+					time.Sleep(tc.sendAfter)
 				}
 				began := time.Now()
-				err := exchange(caller, r)
-				is.Equal(err == nil, tc.answer)
+				err := roundTrip(caller, r)
+				is.Equal(err == nil, tc.answered)
 				is.True(time.Since(began) < time.Second)
 				_, err = r.ReadByte()
-				is.Equal(err, io.EOF) // The connection ends after it.
+				is.Equal(err, io.EOF) // The connection is closed after the response.
 				is.NoErr(<-done)
 			})
 		})
 	}
 }
 
-// exchange sends one request and reads its whole answer.
-func exchange(c net.Conn, r *bufio.Reader) error {
-	if _, err := io.Copy(c, strings.NewReader(request)); err != nil {
+// roundTrip sends one request and reads its complete response.
+func roundTrip(c net.Conn, r *bufio.Reader) error {
+	if _, err := io.Copy(c, strings.NewReader(rawRequest)); err != nil {
 		return err
 	}
 	resp, err := http.ReadResponse(r, nil)
@@ -120,52 +120,52 @@
 	return err
 }
 
-// A gateway that is told to stop begins nothing that it may have to cut. On a deployment
-// where the gateways of a hall were told to stop 0.6 s apart, the balancer went on using
-// them all, and a stream that was sent 3.04 s after the stop was begun. Its replica ran it
-// for 4.3 to 4.6 s, and 7.7 s after the stop the gateway left and cut it. A caller that is turned
-// away goes to another gateway at once, so what it is told must be true: it was not run.
+// A stopping gateway starts no request that it may have to abort. When the gateways of a hall
+// were stopped 0.6 s apart, the load balancer continued to use all of them. A stream that was
+// sent 3.04 s after the stop was started; its replica ran it for 4.3 to 4.6 s, and the gateway
+// aborted it when it exited 7.7 s after the stop. A refused caller retries at another gateway at
+// once, so a refused request must not have run.
 func TestStoppingGatewayBeginsNothingThatItMayCut(t *testing.T) {
 	const late = 3040 * time.Millisecond
 	cases := []struct {
-		name   string
-		path   string
-		asks   time.Duration // When the request is sent after the stop.
-		waits  time.Duration // For how long its caller waits for it.
-		events int           // Of a stream, 50 ms apart.
-		silent bool          // The replica gives no answer.
-		status int
-		runs   int
+		name      string
+		path      string
+		sendAfter time.Duration // When the request is sent, after the stop.
+		timeout   time.Duration // How long the caller waits.
+		events    int           // Events of a stream, 50 ms apart; 0 for a plain request.
+		silent    bool          // The replica does not respond.
+		status    int
+		runs      int
 	}{
-		{"a stream, early", "/s/", time.Second, 6 * time.Second, 60, false, http.StatusOK, 1},
-		{"a stream, as late as one that may be cut", "/s/", 2600 * time.Millisecond, 6 * time.Second, 60, false, http.StatusOK, 1},
-		{"a long stream, late", "/s/", late, 6 * time.Second, 100, false, http.StatusServiceUnavailable, 0},
-		{"a stream that might be long, late", "/s/", late, 6 * time.Second, 4, false, http.StatusServiceUnavailable, 0},
-		{"a stream whose caller waits no longer than the gateway stays, late", "/s/", late, 4 * time.Second, 60, false, http.StatusOK, 1},
-		{"a plain request, late", "/safe/", late, 6 * time.Second, 0, false, http.StatusOK, 1},
-		{"a plain request that gets no answer, late", "/unsafe/", late, 6 * time.Second, 0, true, http.StatusGatewayTimeout, 0},
+		{"early stream", "/s/", time.Second, 6 * time.Second, 60, false, http.StatusOK, 1},
+		{"stream just before the cut-off", "/s/", 2600 * time.Millisecond, 6 * time.Second, 60, false, http.StatusOK, 1},
+		{"late, long stream", "/s/", late, 6 * time.Second, 100, false, http.StatusServiceUnavailable, 0},
+		{"late, short stream that might have been long", "/s/", late, 6 * time.Second, 4, false, http.StatusServiceUnavailable, 0},
+		{"late stream whose caller times out before the gateway exits", "/s/", late, 4 * time.Second, 60, false, http.StatusOK, 1},
+		{"late plain request", "/safe/", late, 6 * time.Second, 0, false, http.StatusOK, 1},
+		{"late plain request without a response", "/unsafe/", late, 6 * time.Second, 0, true, http.StatusGatewayTimeout, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			replicas := plain(1)
+			replicas := plainReplicas(1)
 			if tc.events > 0 {
 				replicas = engines(1, tc.events)
 			}
 			replicas[0].Handle = func(int, *platformtest.Exchange) bool { return tc.silent }
-			run(t, 1, replicas, func(_ *is.I, w *world) {
-				is := is.NewRelaxed(w.t) // What fails is told, and the rest is played to its end.
+			runCluster(t, 1, replicas, func(_ *is.I, cl *testCluster) {
+				is := is.NewRelaxed(cl.t) // Failures are reported, and the test continues to its end.
 				ln := &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 				stop, cancel := context.WithCancel(context.Background())
 				done := make(chan error, 1)
-				go func() { done <- w.gateways[0].ServeCallers(stop, context.Background(), ln) }()
+				go func() { done <- cl.gateways[0].ServeCallers(stop, context.Background(), ln) }()
 				cancel()
-				time.Sleep(tc.asks)
+				time.Sleep(tc.sendAfter)
 				caller, server := net.Pipe()
 				defer func() { _ = caller.Close() }()
 				ln.conns <- server
-				asked := time.Now()
+				sentAt := time.Now()
 				_, err := fmt.Fprintf(caller, "POST %s HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: a1\r\nX-Deadline-Ms: %d\r\n"+
-					"Authorization: Bearer k\r\nContent-Length: 4\r\n\r\nbody", tc.path, tc.waits.Milliseconds())
+					"Authorization: Bearer k\r\nContent-Length: 4\r\n\r\nbody", tc.path, tc.timeout.Milliseconds())
 				is.NoErr(err)
 				r := bufio.NewReader(caller)
 				resp, err := http.ReadResponse(r, nil)
@@ -175,18 +175,18 @@
 					return
 				}
 				body, err := io.ReadAll(resp.Body)
-				is.NoErr(err) // It is whole.
+				is.NoErr(err) // The body is complete.
 				is.Equal(resp.StatusCode, tc.status)
-				is.Equal(runs(replicas), tc.runs)
-				is.True(resp.Close) // The caller uses the connection no more.
+				is.Equal(countRuns(replicas), tc.runs)
+				is.True(resp.Close) // The caller must not reuse the connection.
 				if tc.status == http.StatusOK && tc.events > 0 {
 					is.Equal(string(body), events(1, tc.events))
 				}
 				if tc.status == http.StatusServiceUnavailable {
-					is.True(time.Since(asked) < 50*time.Millisecond)
-					back, err := time.ParseDuration(resp.Header.Get("Retry-After") + "s")
+					is.True(time.Since(sentAt) < 50*time.Millisecond)
+					retryAfter, err := time.ParseDuration(resp.Header.Get("Retry-After") + "s")
 					is.NoErr(err)
-					is.True(back <= 200*time.Millisecond) // Other gateways are ready.
+					is.True(retryAfter <= 200*time.Millisecond) // Other gateways are ready, so the caller may retry at once.
 				}
 				_, err = r.ReadByte()
 				is.Equal(err, io.EOF)
--- a/internal/relay/export_test.go
+++ b/internal/relay/export_test.go
@@ -1,4 +1,4 @@
 package relay
 
-// KnownEnds returns how many ends of replicas the gateway knows of.
-func (g *Relay) KnownEnds() int { return g.suspects.NumTerminations() }
+// KnownTerminations returns the number of replica terminations that the gateway has recorded.
+func (g *Relay) KnownTerminations() int { return g.suspects.NumTerminations() }
--- a/internal/relay/lead_test.go
+++ b/internal/relay/lead_test.go
@@ -17,9 +17,9 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// watching returns the gateways that watch the platform.
-func (w *world) watching() (out []int) {
-	for i, g := range w.gateways {
+// watchers returns the indexes of the gateways that watch the platform.
+func (cl *testCluster) watchers() (out []int) {
+	for i, g := range cl.gateways {
 		if g.Status().Watching {
 			out = append(out, i)
 		}
@@ -27,234 +27,234 @@
 	return out
 }
 
-// begin adds gateways in three halls and lets them find one another.
-func (w *world) begin(gateways int) {
-	w.halls = 3
+// startInThreeHalls adds gateways in three halls and waits until they have discovered one another.
+func (cl *testCluster) startInThreeHalls(gateways int) {
+	cl.hallCount = 3
 	for i := range gateways {
-		w.addGateway(i, w.store)
+		cl.addGateway(i, cl.store)
 	}
 	time.Sleep(4 * time.Second)
-	w.store.Put("servers/p0", w.replicas[0].Record("ready")) // Ends the watches of the start.
+	cl.store.Put("servers/p0", cl.replicas[0].Record("ready")) // Ends the watches that were opened at the start.
 	time.Sleep(3 * time.Second)
 }
 
-// Halls that reach each other have one gateway that watches the platform: a change costs
-// one call and not one for each hall, and is in force at all at once.
+// While the halls are connected, one gateway watches the platform for all of them: a change costs
+// one call instead of one for each hall, and is in force at all gateways at once.
 func TestOneGatewayOfAllHallsWatches(t *testing.T) {
 	const gateways, changes = 15, 20
-	run(t, 0, plain(1), func(is *is.I, w *world) {
-		w.begin(gateways)
-		is.Equal(len(w.watching()), 1)
-		before := w.store.Calls()
+	runCluster(t, 0, plainReplicas(1), func(is *is.I, cl *testCluster) {
+		cl.startInThreeHalls(gateways)
+		is.Equal(len(cl.watchers()), 1)
+		before := cl.store.Calls()
 		for range changes {
-			w.store.Put("servers/p0", w.replicas[0].Record("ready"))
+			cl.store.Put("servers/p0", cl.replicas[0].Record("ready"))
 			time.Sleep(200 * time.Millisecond)
 		}
-		is.True(w.store.Calls()-before <= changes*3/2+16) // Some 39: four checks a second.
+		is.True(cl.store.Calls()-before <= changes*3/2+16) // About 39, with four checks a second.
 
-		w.store.Put("op/config", withoutSafe(2))
-		time.Sleep(500 * time.Millisecond) // The watch pauses for 0.15 s after a change, and each of two that pass it on for up to 0.1 s.
-		for i := range w.gateways {
-			is.Equal(w.ask(i, "GET", "/safe/", nil).status, http.StatusNotFound)
+		cl.store.Put("op/config", configWithoutSafe(2))
+		time.Sleep(500 * time.Millisecond) // The watch pauses for 0.15 s after a change, and each of the two gateways that forward it for up to 0.1 s.
+		for i := range cl.gateways {
+			is.Equal(cl.send(i, "GET", "/safe/", nil).status, http.StatusNotFound)
 		}
 	})
 }
 
-// When the gateway that watches for all is gone, another one does, and a change made
+// When the gateway that watches for all halls is lost, another one takes over, and a change made
 // meanwhile is in force within two seconds.
 func TestAnotherWatchesForAllHalls(t *testing.T) {
 	for _, gateways := range []int{9, 40} {
-		run(t, 0, plain(1), func(is *is.I, w *world) {
-			w.begin(gateways)
-			first := w.watching()
+		runCluster(t, 0, plainReplicas(1), func(is *is.I, cl *testCluster) {
+			cl.startInThreeHalls(gateways)
+			first := cl.watchers()
 			is.Equal(len(first), 1)
-			w.stops[first[0]]()
-			w.store.Put("op/config", withoutSafe(2))
+			cl.stops[first[0]]()
+			cl.store.Put("op/config", configWithoutSafe(2))
 			time.Sleep(2 * time.Second)
-			for i := range w.gateways {
+			for i := range cl.gateways {
 				if i != first[0] {
-					is.Equal(w.ask(i, "GET", "/safe/", nil).status, http.StatusNotFound)
+					is.Equal(cl.send(i, "GET", "/safe/", nil).status, http.StatusNotFound)
 				}
 			}
-			w.store.Put("servers/p0", w.replicas[0].Record("ready")) // Ends the watches that began meanwhile.
+			cl.store.Put("servers/p0", cl.replicas[0].Record("ready")) // Ends the watches that were opened meanwhile.
 			time.Sleep(3 * time.Second)
-			others := slices.DeleteFunc(w.watching(), func(i int) bool { return i == first[0] })
+			others := slices.DeleteFunc(cl.watchers(), func(i int) bool { return i == first[0] })
 			is.Equal(len(others), 1)
 		})
 	}
 }
 
-// Halls that lose each other each have one that watches: a change is in force in all of
-// them within two seconds.
+// When the halls are cut off from one another, a gateway in each of them watches, and a change is
+// in force in all halls within two seconds.
 func TestHallsThatAreCutOffWatchForThemselves(t *testing.T) {
 	const gateways = 9
-	run(t, 0, plain(1), func(is *is.I, w *world) {
-		w.begin(gateways)
+	runCluster(t, 0, plainReplicas(1), func(is *is.I, cl *testCluster) {
+		cl.startInThreeHalls(gateways)
 		for i := range gateways {
 			for j := range i {
-				if w.hallOf(i) != w.hallOf(j) {
-					w.net.Stall(gatewayAddr(i), gatewayAddr(j), true)
+				if cl.hallOf(i) != cl.hallOf(j) {
+					cl.net.Stall(gatewayAddr(i), gatewayAddr(j), true)
 				}
 			}
 		}
-		w.store.Put("op/config", withoutSafe(2))
+		cl.store.Put("op/config", configWithoutSafe(2))
 		time.Sleep(2 * time.Second)
-		for i := range w.gateways {
-			is.Equal(w.ask(i, "GET", "/safe/", nil).status, http.StatusNotFound)
+		for i := range cl.gateways {
+			is.Equal(cl.send(i, "GET", "/safe/", nil).status, http.StatusNotFound)
 		}
 		halls := map[string]bool{}
-		for _, i := range w.watching() {
-			halls[w.hallOf(i)] = true
+		for _, i := range cl.watchers() {
+			halls[cl.hallOf(i)] = true
 		}
 		is.Equal(len(halls), 3)
 		for i := range gateways {
 			for j := range i {
-				w.net.Stall(gatewayAddr(i), gatewayAddr(j), false)
+				cl.net.Stall(gatewayAddr(i), gatewayAddr(j), false)
 			}
 		}
 	})
 }
 
-// The gateway that watches for all hears nothing on its watch, and the platform turns its
-// other calls away: a change is in force at all within two seconds nevertheless.
+// The gateway that watches for all halls receives nothing on its watch, and the platform refuses
+// its other calls. A change must be in force at all gateways within two seconds nevertheless.
 func TestWatcherThatIsTurnedAway(t *testing.T) {
 	const gateways = 6
-	run(t, 0, plain(1), func(is *is.I, w *world) {
-		w.halls = 3
-		var away [gateways]atomic.Bool
+	runCluster(t, 0, plainReplicas(1), func(is *is.I, cl *testCluster) {
+		cl.hallCount = 3
+		var unavailable [gateways]atomic.Bool
 		for i := range gateways {
-			w.addGateway(i, w.storeUnless(&away[i]))
+			cl.addGateway(i, cl.interruptibleStore(&unavailable[i]))
 		}
 		time.Sleep(4 * time.Second)
 		version := 1
 		for range 20 {
-			w.store.Put("servers/p0", w.replicas[0].Record("ready")) // Ends the watches that are there.
+			cl.store.Put("servers/p0", cl.replicas[0].Record("ready")) // Ends the current watches.
 			time.Sleep(time.Second)
-			for _, i := range w.watching() {
-				away[i].Store(true)
+			for _, i := range cl.watchers() {
+				unavailable[i].Store(true)
 			}
-			w.store.SuspendWatches(true)
+			cl.store.SuspendWatches(true)
 			version++
-			w.store.Put("op/config", withoutSafe(version))
+			cl.store.Put("op/config", configWithoutSafe(version))
 			time.Sleep(2 * time.Second)
-			for i := range w.gateways {
-				is.Equal(w.ask(i, "GET", "/safe/", nil).status, http.StatusNotFound)
+			for i := range cl.gateways {
+				is.Equal(cl.send(i, "GET", "/safe/", nil).status, http.StatusNotFound)
 			}
-			w.store.SuspendWatches(false)
-			for i := range away {
-				away[i].Store(false)
+			cl.store.SuspendWatches(false)
+			for i := range unavailable {
+				unavailable[i].Store(false)
 			}
 			version++
-			w.store.Put("op/config", config(version))
+			cl.store.Put("op/config", config(version))
 			time.Sleep(2 * time.Second)
 		}
 	})
 }
 
-// What one gateway finds by a check, while no watch tells of it, all have at once.
+// A change that one gateway finds by a check, while no watch reports it, is pushed to all gateways
+// at once.
 func TestWhatACheckFindsIsPassedOn(t *testing.T) {
 	const gateways = 9
-	run(t, 0, plain(1), func(is *is.I, w *world) {
-		w.begin(gateways)
+	runCluster(t, 0, plainReplicas(1), func(is *is.I, cl *testCluster) {
+		cl.startInThreeHalls(gateways)
 		for version := 2; version < 12; version++ {
-			w.store.SuspendWatches(true)
-			w.store.Put("op/config", platformtest.Config(version))
-			revision := w.gateways[0].Status().Revision
+			cl.store.SuspendWatches(true)
+			cl.store.Put("op/config", platformtest.Config(version))
+			revision := cl.gateways[0].Status().Revision
 			newer := func(g *relay.Relay) bool { return g.Status().Revision > revision }
-			for !slices.ContainsFunc(w.gateways, newer) {
+			for !slices.ContainsFunc(cl.gateways, newer) {
 				time.Sleep(10 * time.Millisecond)
 			}
-			time.Sleep(250 * time.Millisecond) // Two hops; the next announcement is up to 0.5 s away.
-			for _, g := range w.gateways {
+			time.Sleep(250 * time.Millisecond) // Enough for two hops; the next announcement may be up to 0.5 s away.
+			for _, g := range cl.gateways {
 				is.True(newer(g))
 			}
-			w.store.SuspendWatches(false)
+			cl.store.SuspendWatches(false)
 			time.Sleep(2 * time.Second)
 		}
 	})
 }
 
-// Users saw requests begin on a version of which the time was over, on days at size. The
-// gateway that watches for all halls is lost as a newer version is named. The standby
-// gateways find out by their checks, but then read all records, which takes a second and
-// more where there are many. Before they have them another gateway has taken the watch
-// over. It is told of the naming at once, took it to be of that moment, and told all
-// others so, whose own reading came too late. The evidence: a gateway's lines
-// "store_changed at=18 since=17 records=1" 1.3 s after the naming and before any
-// "store_watch_behind", and requests of 34 gateways that begin until 8.5 s after it, on a
-// day with 51 gateways and 310 KB of records; with 24 KB the checks came first, and no
-// request was late.
+// The gateway that watches for all halls is lost when the target version changes. The standby
+// gateways find the change by their checks, but then read all records, which takes a second or
+// more if there are many. Before they finish, another gateway takes over the watch and receives
+// the change at once. It must not date the change by its arrival: it would pass that time on to
+// all others, and requests would start on the older version after its deadline. With 51 gateways
+// and 310 KB of records, gateways logged "store_changed at=18 since=17 records=1" 1.3 s after the
+// change and before any "store_watch_behind", and requests of 34 gateways started on the older
+// version until 8.5 s after the change. With 24 KB the checks came first, and no request was late.
 func TestNamingIsNotOfWhenTheWatchIsTakenOver(t *testing.T) {
 	const gateways, readAll = 6, 1500 * time.Millisecond
-	const fills, waits = 5500 * time.Millisecond, 7500 * time.Millisecond // After the naming.
-	rs := engines(1, 54)                                                  // What fills its slot ends 8.2 s after the naming.
+	const fillAt, queueAt = 5500 * time.Millisecond, 7500 * time.Millisecond // After the change.
+	rs := engines(1, 54)                                                     // The stream that fills its slot ends 8.2 s after the change.
 	rs[0].Slots = 1
-	run(t, 0, rs, func(is *is.I, w *world) {
-		w.halls = 3
-		slow := http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	runCluster(t, 0, rs, func(is *is.I, cl *testCluster) {
+		cl.hallCount = 3
+		slowStore := http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 			if strings.HasSuffix(r.URL.Path, "/kv-range") {
 				time.Sleep(readAll)
 			}
-			w.store.ServeHTTP(rw, r)
+			cl.store.ServeHTTP(rw, r)
 		})
 		for i := range gateways {
-			w.addGateway(i, slow)
+			cl.addGateway(i, slowStore)
 		}
 		time.Sleep(6 * time.Second)
-		w.store.Put("servers/e0", w.replicas[0].Record("ready")) // Ends the watches of the start.
+		cl.store.Put("servers/e0", cl.replicas[0].Record("ready")) // Ends the watches that were opened at the start.
 		time.Sleep(3 * time.Second)
-		first := w.watching()
+		first := cl.watchers()
 		is.Equal(len(first), 1)
-		w.agents(held)
-		go w.stops[first[0]]()
-		time.Sleep(10 * time.Millisecond) // Its watch is over.
-		named := time.Now()
-		w.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
-		ask := func(gateway int, id string) {
-			go w.askWith(context.Background(), gateway, "POST", "/s/", map[string]string{"X-Attempt-Id": id})
+		cl.startAgents(actualVersion)
+		go cl.stops[first[0]]()
+		time.Sleep(10 * time.Millisecond) // Its watch has been closed.
+		supersededAt := time.Now()
+		cl.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
+		send := func(gateway int, id string) {
+			go cl.sendContext(context.Background(), gateway, "POST", "/s/", map[string]string{"X-Attempt-Id": id})
 		}
-		lives := (first[0] + 1) % gateways
-		time.Sleep(time.Until(named.Add(fills)))
-		ask(lives, "fills")
-		time.Sleep(time.Until(named.Add(waits)))
+		survivor := (first[0] + 1) % gateways
+		time.Sleep(time.Until(supersededAt.Add(fillAt)))
+		send(survivor, "fills")
+		time.Sleep(time.Until(supersededAt.Add(queueAt)))
 		is.Equal(rs[0].RequestCount(), 1)
-		for i := range w.gateways {
+		for i := range cl.gateways {
 			if i != first[0] {
-				ask(i, fmt.Sprint("waits at ", i))
+				send(i, fmt.Sprint("waits at ", i))
 			}
 		}
 		time.Sleep(versionWithin)
-		is.Equal(beganLate(rs, named), nil)
+		is.Equal(startedLate(rs, supersededAt), nil)
 	})
 }
 
-// All gateways give a version the same time, whoever told them of the naming: they ask how
-// old it is. Without that the ones that do not watch would take it to be as old as may be,
-// a second and more, and leave the replicas that hold the version so much sooner.
+// All gateways apply the same deadline to a superseded version, from whichever gateway they
+// received the change: they ask for its age. Otherwise the gateways that do not watch would
+// assume the greatest possible age, a second or more, and stop using the replicas with that
+// version too early.
 func TestNamingHasTheSameTimeEverywhere(t *testing.T) {
-	const gateways, within = 6, 6350 * time.Millisecond // Of eight seconds, less the margins and the time between two checks.
-	run(t, 0, engines(2, 2), func(is *is.I, w *world) {
-		w.halls = 3
+	const gateways, lastStart = 6, 6350 * time.Millisecond // Eight seconds, less the margins and the interval of checks.
+	runCluster(t, 0, engines(2, 2), func(is *is.I, cl *testCluster) {
+		cl.hallCount = 3
 		for i := range gateways {
-			w.addGateway(i, w.store)
+			cl.addGateway(i, cl.store)
 		}
 		time.Sleep(6 * time.Second)
-		w.agents(held)
-		named := time.Now()
-		w.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
-		time.Sleep(time.Until(named.Add(within)))
+		cl.startAgents(actualVersion)
+		supersededAt := time.Now()
+		cl.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
+		time.Sleep(time.Until(supersededAt.Add(lastStart)))
 		var wg sync.WaitGroup
-		statuses := make([]int, len(w.gateways))
-		for i := range w.gateways {
-			wg.Go(func() { statuses[i] = w.ask(i, "POST", "/s/", nil).status })
+		statuses := make([]int, len(cl.gateways))
+		for i := range cl.gateways {
+			wg.Go(func() { statuses[i] = cl.send(i, "POST", "/s/", nil).status })
 		}
 		wg.Wait()
 		for _, status := range statuses {
 			is.Equal(status, http.StatusOK)
 		}
-		time.Sleep(time.Until(named.Add(versionWithin - 500*time.Millisecond)))
-		for i := range w.gateways {
-			is.Equal(w.ask(i, "POST", "/s/", nil).status, http.StatusServiceUnavailable)
+		time.Sleep(time.Until(supersededAt.Add(versionWithin - 500*time.Millisecond)))
+		for i := range cl.gateways {
+			is.Equal(cl.send(i, "POST", "/s/", nil).status, http.StatusServiceUnavailable)
 		}
 	})
 }
--- a/internal/relay/learn_test.go
+++ b/internal/relay/learn_test.go
@@ -13,76 +13,76 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// withoutSafe is a configuration in which the safe route is gone.
-func withoutSafe(version int) platformtest.Body {
+// configWithoutSafe returns a configuration without the safe route.
+func configWithoutSafe(version int) platformtest.Body {
 	return platformtest.Config(version, platformtest.Route("s", "/s/", "stream", "llm", nil))
 }
 
-// A watch may hear nothing while changes are made. The configuration is in force
-// within two seconds all the same, at every gateway.
+// A watch may receive nothing while changes are made. A configuration must be in force at every
+// gateway within two seconds nevertheless.
 func TestSilentWatchIsNoticed(t *testing.T) {
-	run(t, 4, plain(1), func(is *is.I, w *world) {
-		w.store.SuspendWatches(true)
-		w.store.Put("op/config", withoutSafe(2))
+	runCluster(t, 4, plainReplicas(1), func(is *is.I, cl *testCluster) {
+		cl.store.SuspendWatches(true)
+		cl.store.Put("op/config", configWithoutSafe(2))
 		time.Sleep(1500 * time.Millisecond)
-		for i := range w.gateways {
-			is.Equal(w.ask(i, "GET", "/safe/", nil).status, http.StatusNotFound)
+		for i := range cl.gateways {
+			is.Equal(cl.send(i, "GET", "/safe/", nil).status, http.StatusNotFound)
 		}
-		w.store.SuspendWatches(false) // The history is gone, and the watches are cut.
-		w.store.Put("op/config", config(3))
+		cl.store.SuspendWatches(false) // The history is deleted, and the watches are closed.
+		cl.store.Put("op/config", config(3))
 		time.Sleep(500 * time.Millisecond)
-		for i := range w.gateways {
-			is.Equal(w.ask(i, "GET", "/safe/", nil).status, http.StatusOK)
+		for i := range cl.gateways {
+			is.Equal(cl.send(i, "GET", "/safe/", nil).status, http.StatusOK)
 		}
 	})
 }
 
-// A gateway that the store turns away follows the others, and one that starts
-// while the store is down learns from them.
+// A gateway that the store refuses gets the records from the other gateways, at its start and for
+// later changes.
 func TestGatewayWithoutTheStoreFollowsOthers(t *testing.T) {
-	run(t, 2, plain(1), func(is *is.I, w *world) {
-		away := http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
-		w.addGateway(2, away)
-		is.True(w.gateways[2].Ready() != nil) // It knows no configuration yet,
-		is.Equal(w.ask(2, "GET", "/none/", nil).status, http.StatusServiceUnavailable)
+	runCluster(t, 2, plainReplicas(1), func(is *is.I, cl *testCluster) {
+		unavailableStore := http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
+		cl.addGateway(2, unavailableStore)
+		is.True(cl.gateways[2].Ready() != nil) // It has no configuration yet.
+		is.Equal(cl.send(2, "GET", "/none/", nil).status, http.StatusServiceUnavailable)
 		time.Sleep(time.Second)
-		is.NoErr(w.gateways[2].Ready())
-		is.Equal(w.ask(2, "GET", "/safe/", nil).status, http.StatusOK)
-		w.store.Put("op/config", withoutSafe(2))
+		is.NoErr(cl.gateways[2].Ready())
+		is.Equal(cl.send(2, "GET", "/safe/", nil).status, http.StatusOK)
+		cl.store.Put("op/config", configWithoutSafe(2))
 		time.Sleep(time.Second)
-		is.Equal(w.ask(2, "GET", "/safe/", nil).status, http.StatusNotFound)
+		is.Equal(cl.send(2, "GET", "/safe/", nil).status, http.StatusNotFound)
 	})
 }
 
-// A bad configuration leaves the last good one in force.
+// An invalid configuration leaves the last valid one in force.
 func TestBadConfigurationChangesNothing(t *testing.T) {
-	run(t, 1, plain(1), func(is *is.I, w *world) {
-		w.store.PutBytes("op/config", []byte(`{"version":`))
-		w.store.PutBytes("servers/p0", []byte(`{"service":7}`))
+	runCluster(t, 1, plainReplicas(1), func(is *is.I, cl *testCluster) {
+		cl.store.PutBytes("op/config", []byte(`{"version":`))
+		cl.store.PutBytes("servers/p0", []byte(`{"service":7}`))
 		time.Sleep(time.Second)
-		is.Equal(w.ask(0, "GET", "/safe/", nil).status, http.StatusOK)
-		w.store.Put("op/config", withoutSafe(2))
+		is.Equal(cl.send(0, "GET", "/safe/", nil).status, http.StatusOK)
+		cl.store.Put("op/config", configWithoutSafe(2))
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(w.ask(0, "GET", "/safe/", nil).status, http.StatusNotFound)
+		is.Equal(cl.send(0, "GET", "/safe/", nil).status, http.StatusNotFound)
 	})
 }
 
-// A gateway that starts while a version's time runs out cannot know when it was
-// named, and is not the one to send requests to an older one for long.
+// A gateway that starts after a change of the target version can't determine when it was made. It
+// must not send requests to replicas with the older version for long.
 func TestStartedGatewayDoesNotTrustAnOverdueVersion(t *testing.T) {
-	run(t, 1, engines(1, 2), func(is *is.I, w *world) {
-		w.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
+	runCluster(t, 1, engines(1, 2), func(is *is.I, cl *testCluster) {
+		cl.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
 		time.Sleep(7 * time.Second)
-		w.addGateway(1, w.store)
+		cl.addGateway(1, cl.store)
 		time.Sleep(3 * time.Second)
-		is.Equal(w.ask(1, "POST", "/s/", nil).status, http.StatusServiceUnavailable)
+		is.Equal(cl.send(1, "POST", "/s/", nil).status, http.StatusServiceUnavailable)
 	})
 }
 
-// Repeats of all gateways together stay within the bound, however many requests
-// fail: 0.2 of the requests and 30.
-func TestRepeatsStayWithinTheirBound(t *testing.T) {
-	rs := plain(3)
+// The retries of all gateways together stay within the budget, however many requests fail: 0.2 of
+// the requests, plus 30.
+func TestRetriesStayWithinTheBudget(t *testing.T) {
+	rs := plainReplicas(3)
 	for _, r := range rs {
 		r.Handle = func(_ int, x *platformtest.Exchange) bool {
 			x.RecordRun()
@@ -90,97 +90,96 @@
 			return true
 		}
 	}
-	const asked = 300
-	run(t, 3, rs, func(is *is.I, w *world) {
-		for i := range asked {
-			w.ask(i%3, "GET", "/safe/", nil)
+	const requests = 300
+	runCluster(t, 3, rs, func(is *is.I, cl *testCluster) {
+		for i := range requests {
+			cl.send(i%3, "GET", "/safe/", nil)
 			time.Sleep(10 * time.Millisecond)
 		}
-		again := runs(rs) - asked
-		is.True(again > 0)
-		is.True(again <= asked/5+30)
+		retries := countRuns(rs) - requests
+		is.True(retries > 0)
+		is.True(retries <= requests/5+30)
 	})
 }
 
-// Many gateways, of which the store answers only two: all learn of each change
-// within two seconds, all know of nearly all others, and none sends more for it
-// than a few announcements a round.
+// The store serves only two of many gateways. All must receive each change within two seconds, and
+// discover nearly all others, though each sends only a few announcements a round.
 func TestManyGatewaysLearnFromAFew(t *testing.T) {
-	const gateways = 14 // More than a gateway announces itself to.
-	run(t, 2, plain(1), func(is *is.I, w *world) {
-		away := http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
+	const gateways = 14 // More than the number to which a gateway announces itself.
+	runCluster(t, 2, plainReplicas(1), func(is *is.I, cl *testCluster) {
+		unavailableStore := http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
 		for i := 2; i < gateways; i++ {
-			w.addGateway(i, away)
+			cl.addGateway(i, unavailableStore)
 		}
 		time.Sleep(3 * time.Second)
-		w.store.Put("op/config", withoutSafe(2))
+		cl.store.Put("op/config", configWithoutSafe(2))
 		time.Sleep(2 * time.Second)
-		for i := range w.gateways {
-			is.Equal(w.ask(i, "GET", "/safe/", nil).status, http.StatusNotFound)
-			is.True(len(w.gateways[i].Status().Peers) > gateways*9/10)
+		for i := range cl.gateways {
+			is.Equal(cl.send(i, "GET", "/safe/", nil).status, http.StatusNotFound)
+			is.True(len(cl.gateways[i].Status().Peers) > gateways*9/10)
 		}
 	})
 }
 
-// One gateway of a hall watches the store and the others learn from it, so that a
-// change costs a call and not one for each; when it goes another one watches, and a
-// change made meanwhile is in force at all within two seconds.
+// One gateway of a hall watches the store, and the others get the records from it, so that a change
+// costs one call instead of one for each gateway. When it is lost, another one takes over, and a
+// change made meanwhile is in force at all gateways within two seconds.
 func TestOneGatewayOfAHallWatches(t *testing.T) {
 	const gateways = 6
-	run(t, gateways, plain(1), func(is *is.I, w *world) {
-		watching := func() (out []int) {
-			for i, g := range w.gateways {
+	runCluster(t, gateways, plainReplicas(1), func(is *is.I, cl *testCluster) {
+		watchers := func() (out []int) {
+			for i, g := range cl.gateways {
 				if g.Status().Watching {
 					out = append(out, i)
 				}
 			}
 			return out
 		}
-		w.store.Put("servers/p0", w.replicas[0].Record("ready")) // Ends the watches of the start.
+		cl.store.Put("servers/p0", cl.replicas[0].Record("ready")) // Ends the watches that were opened at the start.
 		time.Sleep(2 * time.Second)
-		first := watching()
+		first := watchers()
 		is.Equal(len(first), 1)
 		const changes = 20
-		before := w.store.Calls()
+		before := cl.store.Calls()
 		for range changes {
-			w.store.Put("servers/p0", w.replicas[0].Record("ready"))
+			cl.store.Put("servers/p0", cl.replicas[0].Record("ready"))
 			time.Sleep(200 * time.Millisecond)
 		}
-		const checks = 20 // Four a second.
-		is.True(w.store.Calls()-before <= changes+checks+gateways)
+		const checks = 20 // Four checks a second.
+		is.True(cl.store.Calls()-before <= changes+checks+gateways)
 
-		w.stops[first[0]]()
-		w.store.Put("op/config", withoutSafe(2))
+		cl.stops[first[0]]()
+		cl.store.Put("op/config", configWithoutSafe(2))
 		time.Sleep(2 * time.Second)
-		for i := range w.gateways {
+		for i := range cl.gateways {
 			if i != first[0] {
-				is.Equal(w.ask(i, "GET", "/safe/", nil).status, http.StatusNotFound)
+				is.Equal(cl.send(i, "GET", "/safe/", nil).status, http.StatusNotFound)
 			}
 		}
 		time.Sleep(3 * time.Second)
-		others := slices.DeleteFunc(watching(), func(i int) bool { return i == first[0] })
-		is.True(len(others) >= 1 && len(others) <= 3) // Some begin at once; the next change leaves one.
+		others := slices.DeleteFunc(watchers(), func(i int) bool { return i == first[0] })
+		is.True(len(others) >= 1 && len(others) <= 3) // Several may begin to watch at once; the next change leaves one.
 	})
 }
 
-// Where the store turns away the one that would watch, the next one does.
+// If the store refuses the gateway that should watch, the next one watches.
 func TestNextOfAHallWatches(t *testing.T) {
-	run(t, 0, plain(1), func(is *is.I, w *world) {
-		var away [3]atomic.Bool
-		for i := range away {
-			w.addGateway(i, w.storeUnless(&away[i]))
+	runCluster(t, 0, plainReplicas(1), func(is *is.I, cl *testCluster) {
+		var unavailable [3]atomic.Bool
+		for i := range unavailable {
+			cl.addGateway(i, cl.interruptibleStore(&unavailable[i]))
 		}
 		time.Sleep(2 * time.Second)
-		w.store.Put("servers/p0", w.replicas[0].Record("ready")) // Ends the watches of the start.
+		cl.store.Put("servers/p0", cl.replicas[0].Record("ready")) // Ends the watches that were opened at the start.
 		time.Sleep(2 * time.Second)
-		for i, g := range w.gateways {
-			away[i].Store(g.Status().Watching)
+		for i, g := range cl.gateways {
+			unavailable[i].Store(g.Status().Watching)
 		}
-		w.store.Put("servers/p0", w.replicas[0].Record("ready")) // The watch ends, and the next is refused.
+		cl.store.Put("servers/p0", cl.replicas[0].Record("ready")) // Ends the watch; the next one of that gateway is refused.
 		time.Sleep(3 * time.Second)
 		others := 0
-		for i, g := range w.gateways {
-			if g.Status().Watching && !away[i].Load() {
+		for i, g := range cl.gateways {
+			if g.Status().Watching && !unavailable[i].Load() {
 				others++
 			}
 		}
@@ -188,61 +187,61 @@
 	})
 }
 
-// A gateway that learns of a version from another one later gives the version
-// before it as much time as that one does, no more and no less.
+// A gateway that receives a change of the target version late, from another gateway, applies the
+// same deadline to the older version as that gateway, neither earlier nor later.
 func TestVersionLearntLateHasTheSameTime(t *testing.T) {
-	run(t, 1, engines(2, 2), func(is *is.I, w *world) {
-		w.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
+	runCluster(t, 1, engines(2, 2), func(is *is.I, cl *testCluster) {
+		cl.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
 		time.Sleep(4 * time.Second)
-		away := http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
-		w.addGateway(1, away)
-		for i := range w.gateways { // Of replicas whose agents are silent a gateway takes leave sooner.
-			w.tell(i, func() (all []peers.Status) {
-				for _, r := range w.replicas {
+		unavailableStore := http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) { rw.WriteHeader(http.StatusServiceUnavailable) })
+		cl.addGateway(1, unavailableStore)
+		for i := range cl.gateways { // Without reports, gateways would stop using the replicas earlier.
+			cl.sendReports(i, func() (all []peers.Status) {
+				for _, r := range cl.replicas {
 					all = append(all, peers.Status{Addr: r.Addr, Hall: "h1", Model: "m", Version: 1, Reached: true})
 				}
 				return all
 			})
 		}
 		time.Sleep(2300 * time.Millisecond)
-		is.Equal(w.ask(0, "POST", "/s/", nil).status, http.StatusOK) // 1.7 s of eight are left, less a margin.
-		is.Equal(w.ask(1, "POST", "/s/", nil).status, http.StatusOK)
+		is.Equal(cl.send(0, "POST", "/s/", nil).status, http.StatusOK) // 1.7 s are left of eight, less a margin.
+		is.Equal(cl.send(1, "POST", "/s/", nil).status, http.StatusOK)
 		time.Sleep(1200 * time.Millisecond)
-		is.Equal(w.ask(0, "POST", "/s/", nil).status, http.StatusServiceUnavailable)
-		is.Equal(w.ask(1, "POST", "/s/", nil).status, http.StatusServiceUnavailable)
+		is.Equal(cl.send(0, "POST", "/s/", nil).status, http.StatusServiceUnavailable)
+		is.Equal(cl.send(1, "POST", "/s/", nil).status, http.StatusServiceUnavailable)
 	})
 }
 
-// A start of the whole system: the gateways that all others ask first read the store
-// and the others learn from them, and all are ready within half a second.
+// All gateways start at the same time: the gateway through which the others join reads the store,
+// most of the others get the records from it, and all are ready within half a second.
 func TestColdStartAsksTheStoreLittle(t *testing.T) {
 	const gateways = 20
-	run(t, 0, plain(1), func(is *is.I, w *world) {
+	runCluster(t, 0, plainReplicas(1), func(is *is.I, cl *testCluster) {
 		for i := range gateways {
-			w.addGateway(i, w.store)
+			cl.addGateway(i, cl.store)
 		}
 		time.Sleep(500 * time.Millisecond)
-		for _, g := range w.gateways {
+		for _, g := range cl.gateways {
 			is.NoErr(g.Ready())
 		}
-		is.True(w.store.PageReads() <= gateways*3/4) // One by the gateway of the settings, and by those in a hurry.
+		is.True(cl.store.PageReads() <= gateways*3/4) // By the gateway to join, and by those that draw a short start delay.
 	})
 }
 
-// The same, and the gateway that all ask first starts after the others: a few of these
-// read the store themselves, and all are ready soon after it has come.
+// The gateway through which the others join starts after them: a few of the others read the store
+// themselves, and all are ready soon after it has started.
 func TestColdStartWithALateFirstGateway(t *testing.T) {
 	const gateways, late = 40, 400 * time.Millisecond
-	run(t, 0, plain(1), func(is *is.I, w *world) {
+	runCluster(t, 0, plainReplicas(1), func(is *is.I, cl *testCluster) {
 		for i := 1; i < gateways; i++ {
-			w.addGateway(i, w.store)
+			cl.addGateway(i, cl.store)
 		}
 		time.Sleep(late)
-		w.addGateway(0, w.store)
+		cl.addGateway(0, cl.store)
 		time.Sleep(300 * time.Millisecond)
-		for _, g := range w.gateways {
+		for _, g := range cl.gateways {
 			is.NoErr(g.Ready())
 		}
-		is.True(w.store.PageReads() <= gateways/2) // Some six: one in eight, and the first. All by themselves would be 40.
+		is.True(cl.store.PageReads() <= gateways/2) // About six: one in eight, and the late one. It would be 40 if each read the store itself.
 	})
 }
--- a/internal/relay/limiter_test.go
+++ b/internal/relay/limiter_test.go
@@ -17,8 +17,8 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// limiterOf returns the number of the gateway that keeps a replica's limit, of the first n.
-func limiterOf(r *platformtest.Replica, n int) int {
+// limiterIndex returns the index of the limiter of a replica among the first n gateways.
+func limiterIndex(r *platformtest.Replica, n int) int {
 	var addrs []string
 	for i := range n {
 		addrs = append(addrs, gatewayAddr(i))
@@ -26,215 +26,216 @@
 	return slices.Index(addrs, rendezvous.First("limit/"+r.ID, addrs))
 }
 
-// The gateway that keeps a limit stops, is killed, is cut off or starts again, and others come:
-// the limit holds, no request waits for its word for long, and the replica is used again soon.
+// The limiter of a replica terminates, restarts or is cut off, or other gateways start. The limit
+// must be kept, all requests must be served, and the replica must be used again soon.
 func TestLimitHoldsWhileItsLimiterChanges(t *testing.T) {
 	const gateways = 6
 	for _, tc := range []struct {
 		name   string
-		change func(w *world, limiter int)
+		change func(cl *testCluster, limiter int)
 	}{
-		{"ends", func(w *world, limiter int) { w.stops[limiter]() }},
-		{"ends and starts again", func(w *world, limiter int) {
-			w.stops[limiter]()
+		{"ends", func(cl *testCluster, limiter int) { cl.stops[limiter]() }},
+		{"ends and restarts", func(cl *testCluster, limiter int) {
+			cl.stops[limiter]()
 			time.Sleep(500 * time.Millisecond)
-			w.addGateway(limiter, w.store)
+			cl.addGateway(limiter, cl.store)
 		}},
-		{"is cut off for 6 s", func(w *world, limiter int) {
-			stall := func(on bool) {
+		{"is cut off for 6 s", func(cl *testCluster, limiter int) {
+			stall := func(stalled bool) {
 				for i := range gateways {
-					w.net.Stall(gatewayAddr(limiter), gatewayAddr(i), on)
+					cl.net.Stall(gatewayAddr(limiter), gatewayAddr(i), stalled)
 				}
 			}
 			stall(true)
 			time.AfterFunc(6*time.Second, func() { stall(false) })
 		}},
-		{"gateways come", func(w *world, _ int) {
+		{"gateways start", func(cl *testCluster, _ int) {
 			for i := range 6 {
-				w.addGateway(gateways+i, w.store)
+				cl.addGateway(gateways+i, cl.store)
 				time.Sleep(200 * time.Millisecond)
 			}
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rs, got, came := engines(4, 3), map[int]int{}, 0
-			run(t, gateways, rs, func(_ *is.I, w *world) {
-				w.stops = slices.Clone(w.stops)
+			rs, got, arrivals := engines(4, 3), map[int]int{}, 0
+			runCluster(t, gateways, rs, func(_ *is.I, cl *testCluster) {
+				cl.stops = slices.Clone(cl.stops)
 				rs[0].AnnounceLimit("1.3")
-				w.callers("/s/", 10*time.Millisecond, 6*time.Second)
-				limiter := limiterOf(rs[0], gateways)
+				cl.sendPeriodically("/s/", 10*time.Millisecond, 6*time.Second)
+				limiter := limiterIndex(rs[0], gateways)
 				ended := strings.HasPrefix(tc.name, "ends")
-				tc.change(w, limiter)
+				tc.change(cl, limiter)
 				if ended {
-					w.stops[limiter] = func() {}
-					w.gateways[limiter] = w.gateways[(limiter+1)%gateways]
+					cl.stops[limiter] = func() {}
+					cl.gateways[limiter] = cl.gateways[(limiter+1)%gateways]
 				}
-				got = w.callers("/s/", 10*time.Millisecond, 12*time.Second)
-				came = rs[0].CountArrivals(time.Now().Add(-4*time.Second), time.Now())
+				got = cl.sendPeriodically("/s/", 10*time.Millisecond, 12*time.Second)
+				arrivals = rs[0].CountArrivals(time.Now().Add(-4*time.Second), time.Now())
 			})
 			check := is.New(t)
 			check.Equal(overLimit(rs), nil)
 			check.Equal(got, map[int]int{200: 1200})
-			check.True(came >= 3)
+			check.True(arrivals >= 3)
 		})
 	}
 }
 
-// A gateway of an older build does not know the question for a permit. What it would keep is
-// sent nothing by the others, and nothing else suffers.
+// A gateway of an older build doesn't support permit requests. The others send nothing to replicas
+// of which it would be the limiter, and continue to use the other replicas.
 func TestLimitWhoseLimiterIsOfAnOlderBuild(t *testing.T) {
-	const older = "10.0.0.99:1"
-	rs, got, came := engines(3, 3), map[int]int{}, 0
-	for rendezvous.First("limit/"+rs[0].ID, []string{older, gatewayAddr(0), gatewayAddr(1)}) != older {
+	const oldAddr = "10.0.0.99:1"
+	rs, got, arrivals := engines(3, 3), map[int]int{}, 0
+	for rendezvous.First("limit/"+rs[0].ID, []string{oldAddr, gatewayAddr(0), gatewayAddr(1)}) != oldAddr {
 		rs[0].ID += "x"
 	}
-	run(t, 2, rs, func(_ *is.I, w *world) {
-		w.addOlder(older)
+	runCluster(t, 2, rs, func(_ *is.I, cl *testCluster) {
+		cl.addPeerWithoutLimits(oldAddr)
 		time.Sleep(time.Second)
 		rs[0].AnnounceLimit("1.3")
-		w.callers("/s/", 10*time.Millisecond, 4*time.Second)
-		got = w.callers("/s/", 10*time.Millisecond, 8*time.Second)
-		came = rs[0].CountArrivals(time.Now().Add(-4*time.Second), time.Now())
+		cl.sendPeriodically("/s/", 10*time.Millisecond, 4*time.Second)
+		got = cl.sendPeriodically("/s/", 10*time.Millisecond, 8*time.Second)
+		arrivals = rs[0].CountArrivals(time.Now().Add(-4*time.Second), time.Now())
 	})
 	check := is.New(t)
 	check.Equal(overLimit(rs), nil)
 	check.Equal(got, map[int]int{200: 800})
-	check.Equal(came, 0)
+	check.Equal(arrivals, 0)
 }
 
-// addOlder adds what a gateway of a build without limits says to others.
-func (w *world) addOlder(addr string) {
+// addPeerWithoutLimits adds a fake gateway of a build without limits, which only announces itself.
+func (cl *testCluster) addPeerWithoutLimits(addr string) {
 	announce := &peers.Announcement{From: peers.Member{Name: addr, Addr: addr, Hall: "h1"}}
 	var hs wire.Handlers
 	wire.On(&hs, func(ctx context.Context, s *wire.Stream, _ *peers.Announcement) { _ = s.SendLast(ctx, announce) })
-	const every = 200 * time.Millisecond
-	w.addOlderProcess(addr, "h1", &hs, every, func(ctx context.Context, c *wire.Conn) { _, _ = c.Call(ctx, announce) })
+	const interval = 200 * time.Millisecond
+	cl.addOldProcess(addr, "h1", &hs, interval, func(ctx context.Context, c *wire.Conn) { _, _ = c.Call(ctx, announce) })
 }
 
-// Two halls are cut off from each other, and each has a limiter of its own: together they send
-// no more than the limit allows, though nobody tells either of the other.
+// Two halls are cut off from each other, and each has a limiter of its own. Together they must send
+// no more than the limit allows, though they can't communicate.
 func TestHallsThatAreCutOffShareALimit(t *testing.T) {
 	const gateways = 6
-	rs, got, came := engines(4, 3), map[int]int{}, 0
-	run(t, 0, rs, func(_ *is.I, w *world) {
-		w.halls = 2
+	rs, got, arrivals := engines(4, 3), map[int]int{}, 0
+	runCluster(t, 0, rs, func(_ *is.I, cl *testCluster) {
+		cl.hallCount = 2
 		for i := range gateways {
-			w.addGateway(i, w.store)
+			cl.addGateway(i, cl.store)
 		}
 		time.Sleep(3 * time.Second)
 		rs[0].AnnounceLimit("3")
-		w.callers("/s/", 10*time.Millisecond, 4*time.Second)
+		cl.sendPeriodically("/s/", 10*time.Millisecond, 4*time.Second)
 		for i := range gateways {
 			for j := range gateways {
-				if w.hallOf(i) != w.hallOf(j) {
-					w.net.Stall(gatewayAddr(i), gatewayAddr(j), true)
+				if cl.hallOf(i) != cl.hallOf(j) {
+					cl.net.Stall(gatewayAddr(i), gatewayAddr(j), true)
 				}
 			}
 		}
-		w.callers("/s/", 10*time.Millisecond, 4*time.Second) // Each hall has noticed.
-		got = w.callers("/s/", 10*time.Millisecond, 16*time.Second)
-		came = rs[0].CountArrivals(time.Now().Add(-16*time.Second), time.Now())
+		cl.sendPeriodically("/s/", 10*time.Millisecond, 4*time.Second) // Each hall has detected the partition by then.
+		got = cl.sendPeriodically("/s/", 10*time.Millisecond, 16*time.Second)
+		arrivals = rs[0].CountArrivals(time.Now().Add(-16*time.Second), time.Now())
 		for i := range gateways {
 			for j := range gateways {
-				w.net.Stall(gatewayAddr(i), gatewayAddr(j), false)
+				cl.net.Stall(gatewayAddr(i), gatewayAddr(j), false)
 			}
 		}
 	})
 	check := is.New(t)
 	check.Equal(overLimit(rs), nil)
 	check.Equal(got, map[int]int{200: 1600})
-	check.True(came >= 24 && came <= 16*3+4) // Of 48: both halls use their part.
+	check.True(arrivals >= 24 && arrivals <= 16*3+4) // Of 48, so both halls use their share.
 }
 
-// A gateway that starts beside others and reaches none of them takes itself for the only one
-// until all that it was told to join were asked; until then it gives itself no permit.
+// A gateway that has just started and can't reach the others would take itself for the limiter of
+// every replica. It must grant itself no permits until it has tried to contact all gateways that
+// it is configured to join.
 func TestStartedGatewayGivesNoPermits(t *testing.T) {
-	rs, asked, heard, status := plain(1), 0, 0, 0
-	run(t, 0, rs, func(_ *is.I, w *world) {
-		w.join = []string{gatewayAddr(0), gatewayAddr(1)}
-		w.addGateway(0, w.store)
+	rs, received, firstStatus, laterStatus := plainReplicas(1), 0, 0, 0
+	runCluster(t, 0, rs, func(_ *is.I, cl *testCluster) {
+		cl.join = []string{gatewayAddr(0), gatewayAddr(1)}
+		cl.addGateway(0, cl.store)
 		time.Sleep(3 * time.Second)
 		rs[0].AnnounceLimit("30")
-		w.net.Stall(gatewayAddr(0), gatewayAddr(1), true)
-		w.addGateway(1, w.store)
+		cl.net.Stall(gatewayAddr(0), gatewayAddr(1), true)
+		cl.addGateway(1, cl.store)
 		time.Sleep(400 * time.Millisecond)
-		heard = w.ask(1, "GET", "/safe/", nil).status // It hears of the limit.
-		asked = rs[0].RequestCount()
+		firstStatus = cl.send(1, "GET", "/safe/", nil).status // The response announces the limit.
+		received = rs[0].RequestCount()
 		for range 3 {
 			time.Sleep(100 * time.Millisecond)
-			status = max(status, w.ask(1, "GET", "/safe/", nil).status)
+			laterStatus = max(laterStatus, cl.send(1, "GET", "/safe/", nil).status)
 		}
-		asked = rs[0].RequestCount() - asked
-		w.net.Stall(gatewayAddr(0), gatewayAddr(1), false)
+		received = rs[0].RequestCount() - received
+		cl.net.Stall(gatewayAddr(0), gatewayAddr(1), false)
 	})
 	check := is.New(t)
-	check.Equal(heard, http.StatusOK)
-	check.Equal(asked, 0)
-	check.Equal(status, http.StatusServiceUnavailable)
+	check.Equal(firstStatus, http.StatusOK)
+	check.Equal(received, 0)
+	check.Equal(laterStatus, http.StatusServiceUnavailable)
 }
 
-// The limiter of several replicas' limits is silent. Requests wait for it seldom, and each for
-// a moment only.
+// The limiter of several replicas doesn't respond. Few requests may wait for it, and each only for
+// a short time.
 func TestSilentLimiter(t *testing.T) {
-	const gateways, asks = 3, 40
-	rs, waited := plain(6), 0
-	run(t, gateways, rs, func(_ *is.I, w *world) {
+	const gateways, requests = 3, 40
+	rs, waits := plainReplicas(6), 0
+	runCluster(t, gateways, rs, func(_ *is.I, cl *testCluster) {
 		for _, r := range rs {
 			r.ID += "k"
-			for limiterOf(r, gateways) != 2 {
+			for limiterIndex(r, gateways) != 2 {
 				r.ID += "k"
 			}
-			w.store.Put("servers/"+r.ID, r.Record("ready"))
+			cl.store.Put("servers/"+r.ID, r.Record("ready"))
 			r.AnnounceLimit("50")
 		}
 		for i := range rs {
-			w.store.Delete(fmt.Sprintf("servers/p%d", i))
+			cl.store.Delete(fmt.Sprintf("servers/p%d", i))
 		}
 		time.Sleep(3 * time.Second)
-		w.gateways = w.gateways[:1]
-		w.callers("/safe/", 20*time.Millisecond, 2*time.Second)
+		cl.gateways = cl.gateways[:1]
+		cl.sendPeriodically("/safe/", 20*time.Millisecond, 2*time.Second)
 		for i := range 2 {
-			w.net.Stall(gatewayAddr(2), gatewayAddr(i), true)
+			cl.net.Stall(gatewayAddr(2), gatewayAddr(i), true)
 		}
-		for range asks {
+		for range requests {
 			began := time.Now()
-			w.ask(0, "GET", "/safe/", nil)
+			cl.send(0, "GET", "/safe/", nil)
 			if took := time.Since(began); took > 100*time.Millisecond {
 				t.Errorf("a request took %v", took)
 			} else if took >= 50*time.Millisecond {
-				waited++
+				waits++
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 		for i := range 2 {
-			w.net.Stall(gatewayAddr(2), gatewayAddr(i), false)
+			cl.net.Stall(gatewayAddr(2), gatewayAddr(i), false)
 		}
 	})
-	is.New(t).True(waited >= 1 && waited <= 5) // In 0.8 s.
+	is.New(t).True(waits >= 1 && waits <= 5) // Requests within 0.8 s.
 }
 
-// Another gateway comes that is a replica's limiter, and goes after a while. The limiter of
-// before is it again: it does not give out what came free while the other one gave.
+// A new gateway becomes the limiter of a replica and stops after a while, so that the former limiter
+// takes over again. It must not grant permits that became free while the other one granted them.
 func TestFormerLimiterBeginsAnew(t *testing.T) {
 	const gateways = 3
-	rs, asked := plain(1), 0
-	for limiterOf(rs[0], gateways+1) != gateways {
+	rs, received := plainReplicas(1), 0
+	for limiterIndex(rs[0], gateways+1) != gateways {
 		rs[0].ID += "x"
 	}
-	run(t, gateways, rs, func(_ *is.I, w *world) {
+	runCluster(t, gateways, rs, func(_ *is.I, cl *testCluster) {
 		rs[0].AnnounceLimit("0.5")
-		w.callers("/safe/", 50*time.Millisecond, 8*time.Second)
-		w.addGateway(gateways, w.store)
-		w.callers("/safe/", 50*time.Millisecond, 8*time.Second)
-		last := len(w.stops) - 1
-		w.stops[last]()
-		w.stops, w.gateways = w.stops[:last], w.gateways[:gateways]
-		time.Sleep(4 * time.Second) // It is missed by then, and nobody has asked.
-		asked = rs[0].RequestCount()
-		w.callers("/safe/", 10*time.Millisecond, 200*time.Millisecond)
-		asked = rs[0].RequestCount() - asked
+		cl.sendPeriodically("/safe/", 50*time.Millisecond, 8*time.Second)
+		cl.addGateway(gateways, cl.store)
+		cl.sendPeriodically("/safe/", 50*time.Millisecond, 8*time.Second)
+		last := len(cl.stops) - 1
+		cl.stops[last]()
+		cl.stops, cl.gateways = cl.stops[:last], cl.gateways[:gateways]
+		time.Sleep(4 * time.Second) // The others have detected its end by then, and have requested no permits.
+		received = rs[0].RequestCount()
+		cl.sendPeriodically("/safe/", 10*time.Millisecond, 200*time.Millisecond)
+		received = rs[0].RequestCount() - received
 	})
 	check := is.New(t)
 	check.Equal(overLimit(rs), nil)
-	check.Equal(asked, 0)
+	check.Equal(received, 0)
 }
--- a/internal/relay/move_test.go
+++ b/internal/relay/move_test.go
@@ -18,33 +18,32 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// tell has an agent tell a gateway how replicas stand, again and again until the
-// test's end.
-func (w *world) tell(gateway int, say func() []peers.Status) {
-	w.tellBehind(gateway, &simnet.Link{}, say)
+// sendReports starts an agent that sends status reports to a gateway until the end of the test.
+func (cl *testCluster) sendReports(gateway int, statuses func() []peers.Status) {
+	cl.sendReportsOverLink(gateway, &simnet.Link{}, statuses)
 }
 
-// tellBehind is tell by an agent that has its messages over a link.
-func (w *world) tellBehind(gateway int, down *simnet.Link, say func() []peers.Status) {
-	const every = 100 * time.Millisecond
+// sendReportsOverLink is sendReports by an agent whose incoming messages pass over a link.
+func (cl *testCluster) sendReportsOverLink(gateway int, down *simnet.Link, statuses func() []peers.Status) {
+	const interval = 100 * time.Millisecond
 	addr := fmt.Sprintf("10.9.0.%d:1", gateway+1)
-	w.net.Add(&simnet.End{Name: addr, Up: &simnet.Link{}, Down: down, Serve: func(context.Context, net.Conn) {}})
+	cl.net.Add(&simnet.End{Name: addr, Up: &simnet.Link{}, Down: down, Serve: func(context.Context, net.Conn) {}})
 	ctx, cancel := context.WithCancel(context.Background())
 	pool := &wire.Pool{
 		Local: wire.Hello{Cluster: "c", Box: "agent", Hall: "h1", Role: "agent", Incarnation: 7}, Codec: relay.Codec,
 		Handlers: &wire.Handlers{}, Lifetime: ctx, Options: wire.Options{PingInterval: time.Second, StallTimeout: 3 * time.Second},
-		Dial: func(ctx context.Context, to string) (net.Conn, error) { return w.net.Dial(ctx, addr, to) },
+		Dial: func(ctx context.Context, to string) (net.Conn, error) { return cl.net.Dial(ctx, addr, to) },
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		open := map[string]*wire.Stream{}
-		for ; ctx.Err() == nil; time.Sleep(every) {
+		for ; ctx.Err() == nil; time.Sleep(interval) {
 			c, err := pool.Get(ctx, gatewayAddr(gateway))
 			if err != nil {
 				continue
 			}
-			for _, s := range say() {
+			for _, s := range statuses() {
 				if st := open[s.Addr]; st != nil {
 					_ = st.Send(ctx, &s)
 				} else if st, err := c.Open(ctx, &s); err == nil {
@@ -53,50 +52,50 @@
 			}
 		}
 	}()
-	w.stops = append(w.stops, func() {
+	cl.stops = append(cl.stops, func() {
 		cancel()
-		w.net.Remove(addr)
+		cl.net.Remove(addr)
 		<-done
 	})
 }
 
-// A stream whose replica waits for it to take another version goes on at another
-// one, and its own replica is let go of only once that one has taken it.
+// A stream whose replica is about to change its version moves to another replica. The connection
+// to its own replica is kept until the other one has accepted the stream.
 func TestStreamMovesOnlyToOneThatTakesIt(t *testing.T) {
 	cases := []struct {
-		name   string
-		second uint64 // What the other replica holds, whatever its agent says.
-		told   bool   // Its agent has told of it.
-		moves  bool
+		name          string
+		secondVersion uint64 // The version that the other replica holds, whatever its agent reports.
+		reported      bool   // The agent of the other replica has sent a report.
+		moves         bool
 	}{
-		{"taken", 1, true, true},
+		{"accepted", 1, true, true},
 		{"refused", 2, true, false},
-		{"nothing told of it", 1, false, false},
+		{"no report", 1, false, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			rs := engines(2, 30)
-			run(t, 1, rs, func(is *is.I, w *world) {
-				rs[1].SetVersion(tc.second)
+			runCluster(t, 1, rs, func(is *is.I, cl *testCluster) {
+				rs[1].SetVersion(tc.secondVersion)
 				var changing atomic.Bool
-				w.tell(0, func() []peers.Status {
+				cl.sendReports(0, func() []peers.Status {
 					out := []peers.Status{{Addr: rs[0].Addr, Version: 1, Reached: true, Changing: changing.Load()}}
-					if tc.told && changing.Load() {
+					if tc.reported && changing.Load() {
 						out = append(out, peers.Status{Addr: rs[1].Addr, Version: 1, Reached: true})
 					}
 					return out
 				})
-				w.store.Delete("servers/e1") // The stream begins at the first.
+				cl.store.Delete("servers/e1") // The stream starts at e0.
 				time.Sleep(time.Second)
 				time.AfterFunc(700*time.Millisecond, func() {
 					changing.Store(true)
 					rec := rs[1].Record("ready")
 					rec["models"] = []platformtest.Body{{"name": "m", "version": 1}}
-					w.store.Put("servers/e1", rec)
+					cl.store.Put("servers/e1", rec)
 				})
-				got := w.ask(0, "POST", "/s/", nil)
+				got := cl.send(0, "POST", "/s/", nil)
 				is.Equal(got.status, http.StatusOK)
-				is.True(!got.cut)
+				is.True(!got.truncated)
 				is.Equal(got.body, events(1, 30))
 				is.Equal(len(rs[1].Runs()) == 1, tc.moves)
 				is.Equal(rs[0].Runs()[0].Completed, !tc.moves)
--- a/internal/relay/overtaken_test.go
+++ b/internal/relay/overtaken_test.go
@@ -12,27 +12,27 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// What a queue and an overtaken version are tested with.
+// Times of requests that are queued near the deadline of a superseded version.
 const (
-	versionWithin = 8 * time.Second // As in the settings of the tests' gateways.
-	queuedBefore  = 1700 * time.Millisecond
-	waitsIn       = 200 * time.Millisecond
+	versionWithin          = 8 * time.Second // As set in addGateway.
+	lastSendBeforeDeadline = 1700 * time.Millisecond
+	sendInterval           = 200 * time.Millisecond
 )
 
-// oneSlot returns a replica that works on one stream at a time, for a good while.
-func oneSlot() *platformtest.Replica {
-	r := engines(1, 40)[0] // Two seconds.
+// singleSlotEngine returns a replica that runs one stream at a time, each for two seconds.
+func singleSlotEngine() *platformtest.Replica {
+	r := engines(1, 40)[0]
 	r.Slots = 1
 	return r
 }
 
-// agents has agents tell all gateways how the replicas stand: as they do, and with the
-// version that told returns.
-func (w *world) agents(told func(r *platformtest.Replica) uint64) {
-	for i := range w.gateways {
-		w.tell(i, func() (all []peers.Status) {
-			for _, r := range w.replicas {
-				all = append(all, peers.Status{Addr: r.Addr, Hall: "h1", Model: "m", Version: told(r), Reached: true})
+// startAgents starts agents that report the replicas to all gateways, with the versions that
+// reportedVersion returns.
+func (cl *testCluster) startAgents(reportedVersion func(r *platformtest.Replica) uint64) {
+	for i := range cl.gateways {
+		cl.sendReports(i, func() (all []peers.Status) {
+			for _, r := range cl.replicas {
+				all = append(all, peers.Status{Addr: r.Addr, Hall: "h1", Model: "m", Version: reportedVersion(r), Reached: true})
 			}
 			return all
 		})
@@ -40,27 +40,27 @@
 	time.Sleep(500 * time.Millisecond)
 }
 
-func held(r *platformtest.Replica) uint64 { return r.Version }
+func actualVersion(r *platformtest.Replica) uint64 { return r.Version }
 
-// queueBeforeTheEnd names version 2, and lets a stream take the replica's slot and
-// another one wait behind it, both sent while version 1 has time left. It returns when 2
-// was named.
-func (w *world) queueBeforeTheEnd(target string) time.Time {
-	named := time.Now()
-	w.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
-	time.Sleep(versionWithin - queuedBefore - waitsIn)
+// queueBeforeDeadline makes version 2 the target and sends two streams shortly before the
+// deadline of version 1: the first takes the replica's slot, and the second is queued. It
+// returns when version 1 was superseded.
+func (cl *testCluster) queueBeforeDeadline(target string) time.Time {
+	supersededAt := time.Now()
+	cl.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
+	time.Sleep(versionWithin - lastSendBeforeDeadline - sendInterval)
 	for _, id := range []string{"first", "second"} {
-		go w.askWith(context.Background(), 0, "POST", target, map[string]string{"X-Attempt-Id": id})
-		time.Sleep(waitsIn)
+		go cl.sendContext(context.Background(), 0, "POST", target, map[string]string{"X-Attempt-Id": id})
+		time.Sleep(sendInterval)
 	}
-	return named
+	return supersededAt
 }
 
-// beganLate returns the requests that began on version 1 after its time.
-func beganLate(rs []*platformtest.Replica, named time.Time) (ids []string) {
+// startedLate returns the IDs of requests that started on version 1 after its deadline.
+func startedLate(rs []*platformtest.Replica, supersededAt time.Time) (ids []string) {
 	for _, r := range rs {
 		for _, run := range r.Runs() {
-			if run.Version == 1 && run.StartedAt.Sub(named) > versionWithin {
+			if run.Version == 1 && run.StartedAt.Sub(supersededAt) > versionWithin {
 				ids = append(ids, run.ID)
 			}
 		}
@@ -69,68 +69,69 @@
 	return ids
 }
 
-// afterTheEnd plays two streams at a replica with one slot, with then after they were
-// sent, and returns the requests that came to it and those that began late.
-func afterTheEnd(t *testing.T, r *platformtest.Replica, told func(r *platformtest.Replica) uint64, target string, then func(w *world)) (asked int, late []string) {
+// runPastDeadline runs queueBeforeDeadline and then afterSend on a cluster with one replica. It
+// returns how many requests the replica received, and the IDs of those that started late.
+func runPastDeadline(t *testing.T, r *platformtest.Replica, reportedVersion func(r *platformtest.Replica) uint64, target string, afterSend func(cl *testCluster)) (received int, late []string) {
 	rs := []*platformtest.Replica{r}
-	run(t, 1, rs, func(_ *is.I, w *world) {
-		w.agents(told)
-		named := w.queueBeforeTheEnd(target)
-		then(w)
+	runCluster(t, 1, rs, func(_ *is.I, cl *testCluster) {
+		cl.startAgents(reportedVersion)
+		supersededAt := cl.queueBeforeDeadline(target)
+		afterSend(cl)
 		time.Sleep(versionWithin)
-		asked, late = r.RequestCount(), beganLate(rs, named)
+		received, late = r.RequestCount(), startedLate(rs, supersededAt)
 	})
-	return asked, late
+	return received, late
 }
 
-func nothing(*world) {}
+func noop(*testCluster) {}
 
-// A request that still waits at its replica when the time of the version there ends is
-// given up, and does not begin, where the replica sees that.
-func TestQueuedRequestIsDroppedAtTheEnd(t *testing.T) {
+// A request that is still queued at its replica at the deadline of the version there is
+// cancelled. It does not start if the replica notices that.
+func TestQueuedRequestIsCancelledAtTheVersionDeadline(t *testing.T) {
 	is := is.New(t)
-	r := oneSlot()
-	asked, late := afterTheEnd(t, r, held, "/s/", nothing)
-	is.Equal(asked, 2)
+	r := singleSlotEngine()
+	received, late := runPastDeadline(t, r, actualVersion, "/s/", noop)
+	is.Equal(received, 2)
 	is.Equal(len(r.Runs()), 1)
 	is.Equal(len(late), 0)
 }
 
-// The same, and the replica does not see that the request was given up, or does not care.
+// A queued request must not start late either if the replica does not notice the cancellation
+// or ignores it.
 func TestQueuedRequestThatIsNotDroppedDoesNotBeginLate(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		keeps bool
-		then  func(w *world)
+		name              string
+		ignoresDisconnect bool
+		afterSend         func(cl *testCluster)
 	}{
-		{"connection goes silent", false, func(w *world) { w.net.Silence(nil) }},
-		{"replica keeps it", true, nothing}, // Most drop it, not all.
+		{"connection is silent", false, func(cl *testCluster) { cl.net.Silence(nil) }},
+		{"replica ignores the cancellation", true, noop}, // Most replicas drop cancelled requests, but not all.
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			r := oneSlot()
-			r.IgnoresDisconnect = tc.keeps
-			asked, late := afterTheEnd(t, r, held, "/s/", tc.then)
-			is.Equal(asked, 2)
+			r := singleSlotEngine()
+			r.IgnoresDisconnect = tc.ignoresDisconnect
+			received, late := runPastDeadline(t, r, actualVersion, "/s/", tc.afterSend)
+			is.Equal(received, 2)
 			is.Equal(late, nil)
 		})
 	}
 }
 
-// A stream that may not be resumed waits at its replica until its deadline, whatever
-// becomes of the version there meanwhile.
+// A stream that can't be resumed remains queued at its replica until its own deadline, whatever
+// happens to the version there meanwhile. It must not start after the deadline of the version.
 func TestQueuedStreamThatCannotBeRepeatedDoesNotBeginLate(t *testing.T) {
 	check := is.New(t)
-	rs := []*platformtest.Replica{oneSlot()}
-	asked, late := 0, []string(nil)
+	rs := []*platformtest.Replica{singleSlotEngine()}
+	received, late := 0, []string(nil)
 	once := platformtest.Route("once", "/once/", "stream", "llm", platformtest.Body{"resumable": false})
-	run(t, 1, rs, func(_ *is.I, w *world) {
-		w.store.Put("op/config", platformtest.Config(2, once))
-		w.agents(held)
-		named := w.queueBeforeTheEnd("/once/")
+	runCluster(t, 1, rs, func(_ *is.I, cl *testCluster) {
+		cl.store.Put("op/config", platformtest.Config(2, once))
+		cl.startAgents(actualVersion)
+		supersededAt := cl.queueBeforeDeadline("/once/")
 		time.Sleep(versionWithin)
-		asked, late = rs[0].RequestCount(), beganLate(rs, named)
+		received, late = rs[0].RequestCount(), startedLate(rs, supersededAt)
 	})
-	check.Equal(asked, 2)
+	check.Equal(received, 2)
 	check.Equal(late, nil)
 }
--- a/internal/relay/said_test.go
+++ b/internal/relay/said_test.go
@@ -13,15 +13,15 @@
 	"github.com/poststand/poststand/platform/platformtest"
 )
 
-// callers asks each gateway in turn, once every so often, for a time, and returns how many
-// answers had each status.
-func (w *world) callers(target string, every, lasting time.Duration) map[int]int {
+// sendPeriodically sends requests to the gateways in turn, one per interval, and returns the number
+// of replies by status.
+func (cl *testCluster) sendPeriodically(target string, interval, duration time.Duration) map[int]int {
 	out := map[int]int{}
 	replies := make(chan reply)
 	n := 0
-	for began := time.Now(); time.Since(began) < lasting; time.Sleep(every) {
-		gateway, id := n%len(w.gateways), fmt.Sprintf("c%d", n)
-		go func() { replies <- w.ask(gateway, "POST", target, map[string]string{"X-Attempt-Id": id}) }()
+	for began := time.Now(); time.Since(began) < duration; time.Sleep(interval) {
+		gateway, id := n%len(cl.gateways), fmt.Sprintf("c%d", n)
+		go func() { replies <- cl.send(gateway, "POST", target, map[string]string{"X-Attempt-Id": id}) }()
 		n++
 	}
 	for range n {
@@ -30,87 +30,87 @@
 	return out
 }
 
-// unheard lists what came to replicas against what they had said.
-func unheard(rs []*platformtest.Replica) (out []platformtest.Violation) {
+// violations returns the requests that replicas received although they had announced that they
+// were leaving, or had requested a back-off.
+func violations(rs []*platformtest.Replica) (out []platformtest.Violation) {
 	for _, r := range rs {
 		out = append(out, r.Violations()...)
 	}
 	return out
 }
 
-// Requests went on reaching a replica that was leaving, up to 3.1 s after each gateway had
-// been told. The store was silent: the replica's word to it was taken 12 s late, and the list
-// named the replica as ready meanwhile. All its answers said that it leaves. Gateways read
-// only the list, so each chose it as before; the line of a request showed that it was chosen
-// by a list entry of 17 s before.
+// The list of the store may be late: a replica's change to draining took 12 s to appear in it, and
+// requests reached the replica until 3.1 s after each gateway had received a response stating that
+// it was leaving; one was sent on a list entry that was 17 s old. Gateways must read the state from
+// the responses too.
 func TestReplicaThatSaysItLeavesGetsNothingMore(t *testing.T) {
 	rs, got := engines(4, 3), map[int]int{}
-	run(t, 0, rs, func(_ *is.I, w *world) {
-		var away atomic.Bool
+	runCluster(t, 0, rs, func(_ *is.I, cl *testCluster) {
+		var unavailable atomic.Bool
 		for i := range 2 {
-			w.addGateway(i, w.storeUnless(&away))
+			cl.addGateway(i, cl.interruptibleStore(&unavailable))
 		}
 		time.Sleep(time.Second)
-		away.Store(true)
+		unavailable.Store(true)
 		rs[0].Leave()
-		got = w.callers("/s/", 40*time.Millisecond, 6*time.Second)
+		got = cl.sendPeriodically("/s/", 40*time.Millisecond, 6*time.Second)
 	})
 	check := is.New(t)
-	check.Equal(unheard(rs), nil)
-	check.Equal(got, map[int]int{200: 150}) // The others have room for all.
+	check.Equal(violations(rs), nil)
+	check.Equal(got, map[int]int{200: 150}) // The other replicas have capacity for all requests.
 }
 
-// refusedAtOnce asks once more and reports whether the request was refused without a wait,
-// and without one more having come to the replicas.
-func (w *world) refusedAtOnce(target string) bool {
-	asked, began := 0, time.Now()
-	for _, r := range w.replicas {
-		asked -= r.RequestCount()
+// refusedImmediately sends a request and reports whether it was refused without delay and without
+// reaching a replica.
+func (cl *testCluster) refusedImmediately(target string) bool {
+	received, began := 0, time.Now()
+	for _, r := range cl.replicas {
+		received -= r.RequestCount()
 	}
-	got := w.ask(0, "POST", target, nil)
-	for _, r := range w.replicas {
-		asked += r.RequestCount()
+	got := cl.send(0, "POST", target, nil)
+	for _, r := range cl.replicas {
+		received += r.RequestCount()
 	}
-	return got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != "" && time.Since(began) == 0 && asked == 0
+	return got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != "" && time.Since(began) == 0 && received == 0
 }
 
-// Any answer that says that its replica leaves counts, from its head on.
+// Every kind of response with the Leaving header counts, as soon as its header is read.
 func TestEachKindOfAnswerSaysThatItsReplicaLeaves(t *testing.T) {
-	const streamHead = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	const streamHeader = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 	cases := []struct {
 		name, target string
-		act          func(x *platformtest.Exchange) bool
+		respond      func(x *platformtest.Exchange) bool
 	}{
-		{"a whole answer", "/safe/", func(*platformtest.Exchange) bool { return false }},
-		{"its own failure", "/safe/", func(x *platformtest.Exchange) bool {
+		{"complete answer", "/safe/", func(*platformtest.Exchange) bool { return false }},
+		{"failure of the replica", "/safe/", func(x *platformtest.Exchange) bool {
 			x.RecordRun()
 			x.Printf("%sContent-Length: 4\r\n\r\nfail", x.Head(500, ""))
 			return true
 		}},
-		{"a refusal", "/unsafe/", func(x *platformtest.Exchange) bool {
+		{"refusal", "/unsafe/", func(x *platformtest.Exchange) bool {
 			x.Reject("")
 			return true
 		}},
-		{"an answer that is cut", "/unsafe/", func(x *platformtest.Exchange) bool {
+		{"truncated answer", "/unsafe/", func(x *platformtest.Exchange) bool {
 			x.RecordRun()
 			x.Printf("%sContent-Length: 40\r\n\r\nfail", x.Head(200, ""))
 			_ = x.Conn.Close()
 			return true
 		}},
-		{"the head of a stream that has not begun", "/s/", func(x *platformtest.Exchange) bool {
+		{"header of a stream before its first event", "/s/", func(x *platformtest.Exchange) bool {
 			x.RecordRun()
-			x.Printf("%s", x.Head(200, streamHead))
+			x.Printf("%s", x.Head(200, streamHeader))
 			time.Sleep(500 * time.Millisecond)
 			x.Event(1)
 			x.Printf("0\r\n\r\n")
 			return true
 		}},
-		{"an early answer", "/safe/", func(x *platformtest.Exchange) bool {
+		{"informational response", "/safe/", func(x *platformtest.Exchange) bool {
 			x.Printf("HTTP/1.1 103 Early Hints\r\nServer-Leaving: 1\r\n\r\n")
 			x.Replica.AnnounceLeaving("")
 			return false
 		}},
-		{"a surplus answer", "/safe/", func(x *platformtest.Exchange) bool {
+		{"surplus response", "/safe/", func(x *platformtest.Exchange) bool {
 			x.Printf("HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nServer-Leaving: 1\r\nContent-Length: 0\r\n\r\n")
 			x.Replica.AnnounceLeaving("")
 			return false
@@ -118,17 +118,17 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			r := plain(1)[0]
+			r := plainReplicas(1)[0]
 			if tc.target == "/s/" {
 				r = engines(1, 1)[0]
 			}
-			r.Handle = func(_ int, x *platformtest.Exchange) bool { return tc.act(x) }
+			r.Handle = func(_ int, x *platformtest.Exchange) bool { return tc.respond(x) }
 			refused := false
-			run(t, 1, []*platformtest.Replica{r}, func(_ *is.I, w *world) {
+			runCluster(t, 1, []*platformtest.Replica{r}, func(_ *is.I, cl *testCluster) {
 				r.Leave()
-				go w.ask(0, "POST", tc.target, nil)
+				go cl.send(0, "POST", tc.target, nil)
 				time.Sleep(200 * time.Millisecond)
-				refused = w.refusedAtOnce(tc.target)
+				refused = cl.refusedImmediately(tc.target)
 				time.Sleep(time.Second)
 			})
 			is.New(t).True(refused)
@@ -136,12 +136,12 @@
 	}
 }
 
-// The replica that a stream goes on at says that it leaves, and so does one that a request is
-// sent to after another one.
-func TestLaterSendsAreHeardToo(t *testing.T) {
+// The Leaving header counts in the responses of later attempts too: of the replica at which a stream
+// continues, and of one to which a request is retried.
+func TestLeavingHeaderOfLaterAttempts(t *testing.T) {
 	for _, target := range []string{"/s/", "/safe/"} {
 		t.Run(target, func(t *testing.T) {
-			rs := plain(2)
+			rs := plainReplicas(2)
 			if target == "/s/" {
 				rs = engines(2, 6)
 			}
@@ -166,57 +166,58 @@
 					return true
 				}
 			}
-			status, then := 0, []int(nil)
-			run(t, 1, rs, func(_ *is.I, w *world) {
-				status = w.ask(0, "POST", target, nil).status
-				asked := rs[0].RequestCount() + rs[1].RequestCount() - first.Load().RequestCount()
+			status, received := 0, []int(nil)
+			runCluster(t, 1, rs, func(_ *is.I, cl *testCluster) {
+				status = cl.send(0, "POST", target, nil).status
+				before := rs[0].RequestCount() + rs[1].RequestCount() - first.Load().RequestCount()
 				for range 5 {
-					w.ask(0, "POST", target, nil)
+					cl.send(0, "POST", target, nil)
 				}
-				then = append(then, asked, rs[0].RequestCount()+rs[1].RequestCount()-first.Load().RequestCount())
+				received = append(received, before, rs[0].RequestCount()+rs[1].RequestCount()-first.Load().RequestCount())
 			})
 			check := is.New(t)
 			check.Equal(status, http.StatusOK)
-			check.Equal(then, []int{1, 1})
+			check.Equal(received, []int{1, 1})
 		})
 	}
 }
 
-// Only the value that the pages name says that a replica leaves. What cannot be read takes no
-// replica out of use.
-func TestValuesOfLeaving(t *testing.T) {
-	for value, believed := range map[string]bool{
+// Only the documented value of the Leaving header takes a replica out of use. Invalid values are
+// ignored.
+func TestLeavingHeaderValues(t *testing.T) {
+	for value, leaving := range map[string]bool{
 		"1": true, " 1 ": true, "": false, "0": false, "yes": false, "1.5": false, "-1": false, "99999999999999999999": false,
 		strings.Repeat("1", 4000): false,
 	} {
 		t.Run(fmt.Sprintf("%.8q", value), func(t *testing.T) {
-			rs, refused := plain(1), false
-			run(t, 1, rs, func(_ *is.I, w *world) {
+			rs, refused := plainReplicas(1), false
+			runCluster(t, 1, rs, func(_ *is.I, cl *testCluster) {
 				rs[0].AnnounceLeaving(value)
-				w.ask(0, "GET", "/safe/", nil)
-				refused = w.refusedAtOnce("/safe/")
+				cl.send(0, "GET", "/safe/", nil)
+				refused = cl.refusedImmediately("/safe/")
 			})
-			is.New(t).Equal(refused, believed)
+			is.New(t).Equal(refused, leaving)
 		})
 	}
 }
 
-// A request is chosen a replica and its connection takes seconds. Meanwhile an answer to
-// another one says that the replica leaves, or wants rest: the first goes elsewhere.
+// A replica has been chosen for a request, and connecting to it takes seconds. Meanwhile a response
+// to another request announces that the replica is leaving, or requests a back-off. The first
+// request must be sent to another replica.
 func TestChosenRequestIsNotSentAgainstTheReplicasWord(t *testing.T) {
-	for name, say := range map[string]func(r *platformtest.Replica){
+	for name, declare := range map[string]func(r *platformtest.Replica){
 		"leaves": func(r *platformtest.Replica) { r.Leave() },
 		"rests":  func(r *platformtest.Replica) { r.Shed("6") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			rs := plain(2)
+			rs := plainReplicas(2)
 			var slow atomic.Bool
-			var late reply
-			asked := 0
-			run(t, 1, rs, func(_ *is.I, w *world) {
-				w.store.Delete("servers/p1")
+			var delayed reply
+			received := 0
+			runCluster(t, 1, rs, func(_ *is.I, cl *testCluster) {
+				cl.store.Delete("servers/p1")
 				time.Sleep(time.Second)
-				w.dials = func(to string) {
+				cl.onDial = func(to string) {
 					if to == rs[0].Addr && slow.CompareAndSwap(true, false) {
 						time.Sleep(3 * time.Second)
 					}
@@ -224,115 +225,115 @@
 				slow.Store(true)
 				done := make(chan struct{})
 				go func() {
-					late = w.ask(0, "POST", "/unsafe/", map[string]string{"X-Attempt-Id": "late"})
+					delayed = cl.send(0, "POST", "/unsafe/", map[string]string{"X-Attempt-Id": "late"})
 					close(done)
 				}()
 				time.Sleep(100 * time.Millisecond)
-				say(rs[0])
-				w.ask(0, "POST", "/unsafe/", nil)
-				asked = rs[0].RequestCount()
-				w.store.Put("servers/p1", rs[1].Record("ready"))
+				declare(rs[0])
+				cl.send(0, "POST", "/unsafe/", nil)
+				received = rs[0].RequestCount()
+				cl.store.Put("servers/p1", rs[1].Record("ready"))
 				<-done
 			})
 			check := is.New(t)
-			check.Equal(late.status, http.StatusOK)
-			check.Equal(late.body, "answer of p1")
-			check.Equal(rs[0].RequestCount(), asked)
+			check.Equal(delayed.status, http.StatusOK)
+			check.Equal(delayed.body, "answer of p1")
+			check.Equal(rs[0].RequestCount(), received)
 		})
 	}
 }
 
-// Connections that are kept to a replica are closed when it says that it leaves, and stay
-// while it rests; none of them is used meanwhile.
-func TestKeptConnectionsOfAReplicaThatSaidSo(t *testing.T) {
+// Idle connections to a replica are closed when it announces that it is leaving, and are kept during
+// a back-off. None of them may be used meanwhile.
+func TestIdleConnectionsOfAnUnavailableReplica(t *testing.T) {
 	for name, tc := range map[string]struct {
-		say   func(r *platformtest.Replica)
-		conns int
+		declare func(r *platformtest.Replica)
+		conns   int
 	}{
 		"leaves": {func(r *platformtest.Replica) { r.Leave() }, 0},
 		"rests":  {func(r *platformtest.Replica) { r.Shed("600") }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			rs, conns, asked := plain(1), []int(nil), 0
+			rs, conns, received := plainReplicas(1), []int(nil), 0
 			rs[0].Handle = func(int, *platformtest.Exchange) bool {
-				time.Sleep(50 * time.Millisecond) // So that two requests are two connections.
+				time.Sleep(50 * time.Millisecond) // So that two requests need two connections.
 				return false
 			}
-			both := func(w *world) {
+			sendTwo := func(cl *testCluster) {
 				done := make(chan reply)
 				for range 2 {
-					go func() { done <- w.ask(0, "GET", "/safe/", nil) }()
+					go func() { done <- cl.send(0, "GET", "/safe/", nil) }()
 				}
 				for range 2 {
 					<-done
 				}
 			}
-			run(t, 1, rs, func(_ *is.I, w *world) {
-				both(w)
+			runCluster(t, 1, rs, func(_ *is.I, cl *testCluster) {
+				sendTwo(cl)
 				conns = append(conns, rs[0].Conns())
-				tc.say(rs[0])
-				both(w)
-				asked = rs[0].RequestCount()
+				tc.declare(rs[0])
+				sendTwo(cl)
+				received = rs[0].RequestCount()
 				time.Sleep(time.Second)
-				both(w)
+				sendTwo(cl)
 				conns = append(conns, rs[0].Conns())
-				asked = rs[0].RequestCount() - asked
+				received = rs[0].RequestCount() - received
 			})
 			check := is.New(t)
 			check.Equal(conns, []int{2, tc.conns})
-			check.Equal(asked, 0)
+			check.Equal(received, 0)
 		})
 	}
 }
 
-// What a replica said ends with its life, not with an entry of the list, and not with its
-// address.
+// The state that a replica has announced applies to its incarnation: it outlasts the replica's entry
+// in the list, and doesn't apply to another replica at the same address.
 func TestWordEndsWithTheReplicasLife(t *testing.T) {
 	cases := []struct {
-		name  string
-		list  func(w *world, r *platformtest.Replica)
-		again bool // It is used again.
+		name   string
+		relist func(cl *testCluster, r *platformtest.Replica)
+		usable bool // The replica at the address is used.
 	}{
-		{"listed as ready once more", func(w *world, r *platformtest.Replica) { w.store.Put("servers/p0", r.Record("ready")) }, false},
-		{"its entry lapses and is back", func(w *world, r *platformtest.Replica) {
-			w.store.Delete("servers/p0")
+		{"written as ready again", func(cl *testCluster, r *platformtest.Replica) { cl.store.Put("servers/p0", r.Record("ready")) }, false},
+		{"entry lapses and is written again", func(cl *testCluster, r *platformtest.Replica) {
+			cl.store.Delete("servers/p0")
 			time.Sleep(20 * time.Second)
-			w.store.Put("servers/p0", r.Record("ready"))
+			cl.store.Put("servers/p0", r.Record("ready"))
 		}, false},
-		{"another replica has its address", func(w *world, r *platformtest.Replica) {
-			w.store.Delete("servers/p0")
+		{"another replica at its address", func(cl *testCluster, r *platformtest.Replica) {
+			cl.store.Delete("servers/p0")
 			r.ID = "p9"
-			w.store.Put("servers/p9", r.Record("ready"))
+			cl.store.Put("servers/p9", r.Record("ready"))
 		}, true},
-		{"it started again under its id", func(w *world, r *platformtest.Replica) {
+		{"restarted under its ID", func(cl *testCluster, r *platformtest.Replica) {
 			rec := r.Record("ready")
 			rec["born"] = 1_700_000_000_001
-			w.store.Put("servers/p0", rec)
+			cl.store.Put("servers/p0", rec)
 		}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			rs := plain(1)
-			said := func(say func()) (used bool) {
-				run(t, 1, rs, func(_ *is.I, w *world) {
+			rs := plainReplicas(1)
+			usableAfter := func(declare func()) (used bool) {
+				runCluster(t, 1, rs, func(_ *is.I, cl *testCluster) {
 					rec := rs[0].Record("ready")
 					rec["born"] = 1_700_000_000_000
-					w.store.Put("servers/p0", rec)
+					cl.store.Put("servers/p0", rec)
 					time.Sleep(time.Second)
-					say()
-					w.ask(0, "GET", "/safe/", nil)
+					declare()
+					cl.send(0, "GET", "/safe/", nil)
 					rs[0].AnnounceLeaving("")
 					rs[0].Shed("")
-					tc.list(w, rs[0])
+					tc.relist(cl, rs[0])
 					time.Sleep(time.Second)
-					used = w.ask(0, "GET", "/safe/", nil).status == http.StatusOK
+					used = cl.send(0, "GET", "/safe/", nil).status == http.StatusOK
 				})
-				rs = plain(1)
+				rs = plainReplicas(1)
 				return used
 			}
 			check := is.New(t)
-			check.Equal(said(rs[0].Leave), tc.again)
-			check.Equal(said(func() { rs[0].Shed("600") }), tc.again)
+			check.Equal(usableAfter(rs[0].Leave), tc.usable)
+			check.Equal(usableAfter(func() { rs[0].Shed("600") }), tc.usable)
 		})
 	}
 }
--- a/internal/relay/world_test.go
+++ b/internal/relay/world_test.go
@@ -34,44 +34,45 @@
 	os.Exit(m.Run())
 }
 
-// world is a small deployment: gateways of real code before stand-ins.
-type world struct {
-	t        *testing.T
-	net      *simnet.Network
-	store    *platformtest.Store
-	replicas []*platformtest.Replica
-	gateways []*relay.Relay
-	stops    []context.CancelFunc
-	mu       sync.Mutex      // Guards replicas where some start while the test plays.
-	halls    int             // Gateways stand in so many halls in turn; one by default.
-	dials    func(to string) // If set, called before a gateway connects.
-	join     []string        // Whom gateways ask first; the first one by default.
-	only     atomic.Int64    // If positive, the number, from 1, of the one gateway that storeOf answers.
+// testCluster is a set of real gateways with fake replicas and a fake store, on a simulated
+// network.
+type testCluster struct {
+	t               *testing.T
+	net             *simnet.Network
+	store           *platformtest.Store
+	replicas        []*platformtest.Replica
+	gateways        []*relay.Relay
+	stops           []context.CancelFunc
+	mu              sync.Mutex      // Guards replicas in tests that start some of them later.
+	hallCount       int             // Gateways are assigned to this number of halls in turn; one by default.
+	onDial          func(to string) // If set, called before a gateway connects.
+	join            []string        // Addresses through which gateways join; the first gateway by default.
+	soleStoreClient atomic.Int64    // If positive, only gateway soleStoreClient-1 can reach the store of storeFor.
 }
 
-// run plays a test in virtual time, with a configuration of one stream, one safe
-// and one unsafe route.
-func run(t *testing.T, gateways int, replicas []*platformtest.Replica, play func(is *is.I, w *world)) {
+// runCluster runs a test on a new cluster in virtual time. The configuration has a stream
+// route, a safe route, an unsafe route and a public safe route.
+func runCluster(t *testing.T, gateways int, replicas []*platformtest.Replica, test func(is *is.I, cl *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{
+		cl := &testCluster{
 			t: t, store: &platformtest.Store{}, replicas: replicas,
 			net: &simnet.Network{Latency: func(string, string) time.Duration { return time.Millisecond }},
 		}
-		w.store.Put("op/config", config(1))
+		cl.store.Put("op/config", config(1))
 		for _, r := range replicas {
-			w.net.Add(&simnet.End{Name: r.Addr, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: r.Serve})
-			w.store.Put("servers/"+r.ID, r.Record("ready"))
+			cl.net.Add(&simnet.End{Name: r.Addr, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: r.Serve})
+			cl.store.Put("servers/"+r.ID, r.Record("ready"))
 		}
 		for i := range gateways {
-			w.addGateway(i, w.store)
+			cl.addGateway(i, cl.store)
 		}
 		time.Sleep(3 * time.Second)
-		play(is.New(t), w)
-		for _, stop := range w.stops {
+		test(is.New(t), cl)
+		for _, stop := range cl.stops {
 			stop()
 		}
 		for _, r := range replicas {
-			w.net.Remove(r.Addr)
+			cl.net.Remove(r.Addr)
 		}
 		time.Sleep(time.Minute)
 	})
@@ -89,20 +90,22 @@
 
 func gatewayAddr(i int) string { return fmt.Sprintf("10.0.0.%d:1", i+1) }
 
-func (w *world) hallOf(gateway int) string { return fmt.Sprintf("h%d", 1+gateway%max(1, w.halls)) }
+func (cl *testCluster) hallOf(gateway int) string {
+	return fmt.Sprintf("h%d", 1+gateway%max(1, cl.hallCount))
+}
 
-func (w *world) addGateway(i int, store http.Handler) {
+func (cl *testCluster) addGateway(i int, store http.Handler) {
 	addr := gatewayAddr(i)
 	transport := &simnet.Transport{Find: func(string) http.Handler { return store }}
 	s := &platform.Store{Addr: "store:1", HTTP: &http.Client{Transport: transport}}
 	t := &platform.Translator{}
-	join := w.join
+	join := cl.join
 	if join == nil {
 		join = []string{gatewayAddr(0)}
 	}
 	g, err := relay.New(&settings.Relay{
 		Own: settings.Own{
-			Cluster: "c", Box: addr, Hall: w.hallOf(i), Listen: addr, Store: "store:1", Join: join,
+			Cluster: "c", Box: addr, Hall: cl.hallOf(i), Listen: addr, Store: "store:1", Join: join,
 		},
 		RelayBounds: settings.RelayBounds{
 			GraceFor: 8 * time.Second, VersionWithin: 8 * time.Second, ApplyWithin: 2 * time.Second,
@@ -112,17 +115,17 @@
 		Headers: platform.Dialect, BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.Precedence,
 		Follower: &peers.Follower{ReadAll: s.Whole, Watch: s.Watch, Newest: s.Newest},
 		Dial: func(ctx context.Context, to string) (net.Conn, error) {
-			if w.dials != nil {
-				w.dials(to)
+			if cl.onDial != nil {
+				cl.onDial(to)
 			}
-			return w.net.Dial(ctx, addr, to)
+			return cl.net.Dial(ctx, addr, to)
 		},
 	})
 	if err != nil {
-		w.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
 	srv := g.Server()
-	w.net.Add(&simnet.End{Name: addr, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: srv.ServeConn})
+	cl.net.Add(&simnet.End{Name: addr, Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: srv.ServeConn})
 	ctx, cancel := context.WithCancel(context.Background())
 	var k kernel.Kernel
 	g.AddTasks(&k)
@@ -131,63 +134,64 @@
 		_ = k.Run(ctx)
 		close(done)
 	}()
-	w.gateways = append(w.gateways, g)
-	w.stops = append(w.stops, func() {
+	cl.gateways = append(cl.gateways, g)
+	cl.stops = append(cl.stops, func() {
 		cancel()
 		g.Close()
-		w.net.Remove(addr)
+		cl.net.Remove(addr)
 		<-done
 	})
 }
 
-// storeUnless is the store, which turns away while away is set.
-func (w *world) storeUnless(away *atomic.Bool) http.Handler {
+// interruptibleStore returns a handler that serves the store, or answers 503 while unavailable
+// is set.
+func (cl *testCluster) interruptibleStore(unavailable *atomic.Bool) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		if away.Load() {
+		if unavailable.Load() {
 			rw.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		w.store.ServeHTTP(rw, r)
+		cl.store.ServeHTTP(rw, r)
 	})
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
-	status int
-	header http.Header
-	body   string
-	cut    bool // The answer was cut, visibly.
+	status    int
+	header    http.Header
+	body      string
+	truncated bool // The response was aborted before its end.
 }
 
-// ask sends a caller's request to a gateway.
-func (w *world) ask(gateway int, method, target string, more map[string]string) reply {
-	return w.askWith(context.Background(), gateway, method, target, more)
+// send sends a caller's request to a gateway, with additional headers.
+func (cl *testCluster) send(gateway int, method, target string, header map[string]string) reply {
+	return cl.sendContext(context.Background(), gateway, method, target, header)
 }
 
-func (w *world) askWith(ctx context.Context, gateway int, method, target string, more map[string]string) (out reply) {
+func (cl *testCluster) sendContext(ctx context.Context, gateway int, method, target string, header map[string]string) (out reply) {
 	r := httptest.NewRequestWithContext(ctx, method, "http://h.example"+target, strings.NewReader("body"))
 	r.RequestURI = target
 	r.Header.Set("X-Attempt-Id", "a1")
 	r.Header.Set("X-Deadline-Ms", "6000")
 	r.Header.Set("Authorization", "Bearer k")
-	for k, v := range more {
+	for k, v := range header {
 		r.Header.Set(k, v)
 	}
 	rec := httptest.NewRecorder()
 	defer func() {
-		out = reply{rec.Code, rec.Header(), rec.Body.String(), out.cut}
+		out = reply{rec.Code, rec.Header(), rec.Body.String(), out.truncated}
 		if p := recover(); p != nil {
 			if err, ok := p.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
 				panic(p)
 			}
-			out.cut = true
+			out.truncated = true
 		}
 	}()
-	w.gateways[gateway].ServeHTTP(rec, r)
+	cl.gateways[gateway].ServeHTTP(rec, r)
 	return out
 }
 
-func runs(rs []*platformtest.Replica) int {
+func countRuns(rs []*platformtest.Replica) int {
 	n := 0
 	for _, r := range rs {
 		n += len(r.Runs())
@@ -195,7 +199,7 @@
 	return n
 }
 
-func plain(n int) []*platformtest.Replica {
+func plainReplicas(n int) []*platformtest.Replica {
 	var out []*platformtest.Replica
 	for i := range n {
 		out = append(out, &platformtest.Replica{ID: fmt.Sprintf("p%d", i), Service: "api", Addr: fmt.Sprintf("10.1.0.%d:80", i+1), Hall: "h1"})
@@ -204,7 +208,7 @@
 }
 
 func engines(n, events int) []*platformtest.Replica {
-	out := plain(n)
+	out := plainReplicas(n)
 	for i, r := range out {
 		r.ID, r.Service, r.Version, r.Events, r.EventInterval = fmt.Sprintf("e%d", i), "llm", 1, events, 50*time.Millisecond
 	}
