--- a/internal/relay/copy_cases_test.go
+++ b/internal/relay/copy_cases_test.go
@@ -292,7 +292,7 @@
 		name string
 		test func(cl *testCluster)
 	}{
-		{"by a check only", func(cl *testCluster) {
+		{"a check finds it, and no watch", func(cl *testCluster) {
 			cl.store.SuspendWatches(true)
 			cl.writeChanges(4)
 			cl.store.RestoreFromBackup(4)
@@ -312,7 +312,7 @@
 			cl.stallHall("h1", false)
 			time.Sleep(3 * time.Second)
 		}},
-		{"by one gateway only", func(cl *testCluster) {
+		{"only one gateway reaches the store", func(cl *testCluster) {
 			cl.soleStoreClient.Store(3 + 1)
 			cl.restoreWithout(func() { cl.writeChanges(4) })
 			time.Sleep(3 * time.Second)
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -28,7 +28,8 @@
 	})
 }
 
-// The same on a route with one attempt per request: each of three requests crashes one replica.
+// On a route with one attempt per request, a fatal request crashes one replica each time that its
+// caller sends it. Each of the first three may do so.
 func TestFatalRequestOnARouteWithOneAttempt(t *testing.T) {
 	runCluster(t, 4, engines(8, 3), func(is *is.I, cl *testCluster) {
 		cl.store.Put("op/config", platformtest.Config(2, platformtest.Route("s", "/s/", "stream", "llm", platformtest.Body{"attempts": 1})))
@@ -129,10 +130,11 @@
 	}
 }
 
-// The same for replicas that terminate one after the other, four a second, without notice. A
-// request ran on three of them, and its gateway had records of at most six of the ten that
-// terminated around those times: terminations under requests whose answers had been in progress
-// for long were not sent to other gateways.
+// Harmless requests must not be quarantined either when replicas terminate one after the other,
+// four a second, without notice. One that had run on three of them was quarantined because its
+// gateway had records of at most six of the ten replicas that terminated around those times:
+// terminations under requests whose answers had been in progress for long were not sent to other
+// gateways.
 func TestSoundRequestsInARollAreNotQuarantined(t *testing.T) {
 	runHarmless(t, func(c *crashInjector) {
 		for _, r := range c.cl.running() {
--- a/internal/relay/crashes_test.go
+++ b/internal/relay/crashes_test.go
@@ -18,11 +18,11 @@
 
 // Times of replicas that crash, and of callers that retry.
 const (
-	crashAfter          = 80 * time.Millisecond   // From the start of a fatal request.
-	restartAfter        = 2 * time.Second         // Until the next incarnation starts.
-	delistAfter         = 3600 * time.Millisecond // Until the entry of the crashed incarnation is deleted.
-	callerRetryInterval = 500 * time.Millisecond  // Between two requests of a caller, each to another gateway.
-	callerRetrySpan     = 20 * time.Second        // For which a caller retries.
+	crashAfter          = 80 * time.Millisecond   // Run time of a fatal request before its replica crashes.
+	restartAfter        = 2 * time.Second         // Time from a crash to the start of the next incarnation.
+	delistAfter         = 3600 * time.Millisecond // Time from a crash to the deletion of the crashed incarnation's entry.
+	callerRetryInterval = 500 * time.Millisecond  // Interval between two requests of a caller, each to another gateway.
+	callerRetrySpan     = 20 * time.Second        // Time for which a caller retries.
 )
 
 // The required bounds: once a request has crashed maxTerminations replicas, all connected gateways
@@ -40,7 +40,7 @@
 	mu         sync.Mutex
 	crashTimes []time.Time // When replicas crashed under a fatal request.
 	runTimes   []time.Time // When fatal requests started to run.
-	crashCount int
+	crashCount int         // Number of crashes, also without a fatal request.
 }
 
 // injectCrashes makes all replicas crash under fatal requests.
--- a/internal/relay/lead_test.go
+++ b/internal/relay/lead_test.go
@@ -66,19 +66,19 @@
 	for _, gateways := range []int{9, 40} {
 		runCluster(t, 0, plainReplicas(1), func(is *is.I, cl *testCluster) {
 			cl.startInThreeHalls(gateways)
-			first := cl.watchers()
-			is.Equal(len(first), 1)
-			cl.stops[first[0]]()
+			firstWatchers := cl.watchers()
+			is.Equal(len(firstWatchers), 1)
+			cl.stops[firstWatchers[0]]()
 			cl.store.Put("op/config", configWithoutSafe(2))
 			time.Sleep(2 * time.Second)
 			for i := range cl.gateways {
-				if i != first[0] {
+				if i != firstWatchers[0] {
 					is.Equal(cl.send(i, "GET", "/safe/", nil).status, http.StatusNotFound)
 				}
 			}
 			cl.store.Put("servers/p0", cl.replicas[0].Record("ready")) // Ends the watches that were opened meanwhile.
 			time.Sleep(3 * time.Second)
-			others := slices.DeleteFunc(cl.watchers(), func(i int) bool { return i == first[0] })
+			others := slices.DeleteFunc(cl.watchers(), func(i int) bool { return i == firstWatchers[0] })
 			is.Equal(len(others), 1)
 		})
 	}
@@ -202,23 +202,23 @@
 		time.Sleep(6 * time.Second)
 		cl.store.Put("servers/e0", cl.replicas[0].Record("ready")) // Ends the watches that were opened at the start.
 		time.Sleep(3 * time.Second)
-		first := cl.watchers()
-		is.Equal(len(first), 1)
+		firstWatchers := cl.watchers()
+		is.Equal(len(firstWatchers), 1)
 		cl.startAgents(actualVersion)
-		go cl.stops[first[0]]()
+		go cl.stops[firstWatchers[0]]()
 		time.Sleep(10 * time.Millisecond) // Its watch has been closed.
 		supersededAt := time.Now()
 		cl.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 2})
 		send := func(gateway int, id string) {
 			go cl.sendContext(context.Background(), gateway, "POST", "/s/", map[string]string{"X-Attempt-Id": id})
 		}
-		survivor := (first[0] + 1) % gateways
+		survivor := (firstWatchers[0] + 1) % gateways
 		time.Sleep(time.Until(supersededAt.Add(fillAt)))
 		send(survivor, "fills")
 		time.Sleep(time.Until(supersededAt.Add(queueAt)))
 		is.Equal(rs[0].RequestCount(), 1)
 		for i := range cl.gateways {
-			if i != first[0] {
+			if i != firstWatchers[0] {
 				send(i, fmt.Sprint("waits at ", i))
 			}
 		}
--- a/internal/relay/learn_test.go
+++ b/internal/relay/learn_test.go
@@ -137,8 +137,8 @@
 		}
 		cl.store.Put("servers/p0", cl.replicas[0].Record("ready")) // Ends the watches that were opened at the start.
 		time.Sleep(2 * time.Second)
-		first := watchers()
-		is.Equal(len(first), 1)
+		firstWatchers := watchers()
+		is.Equal(len(firstWatchers), 1)
 		const changes = 20
 		before := cl.store.Calls()
 		for range changes {
@@ -148,16 +148,16 @@
 		const checks = 20 // Four checks a second.
 		is.True(cl.store.Calls()-before <= changes+checks+gateways)
 
-		cl.stops[first[0]]()
+		cl.stops[firstWatchers[0]]()
 		cl.store.Put("op/config", configWithoutSafe(2))
 		time.Sleep(2 * time.Second)
 		for i := range cl.gateways {
-			if i != first[0] {
+			if i != firstWatchers[0] {
 				is.Equal(cl.send(i, "GET", "/safe/", nil).status, http.StatusNotFound)
 			}
 		}
 		time.Sleep(3 * time.Second)
-		others := slices.DeleteFunc(watchers(), func(i int) bool { return i == first[0] })
+		others := slices.DeleteFunc(watchers(), func(i int) bool { return i == firstWatchers[0] })
 		is.True(len(others) >= 1 && len(others) <= 3) // Several may begin to watch at once; the next change leaves one.
 	})
 }
--- a/internal/relay/limit_cases_test.go
+++ b/internal/relay/limit_cases_test.go
@@ -51,8 +51,8 @@
 					got = cl.sendPeriodically("/safe/", 40*time.Millisecond, requests*40*time.Millisecond)
 				})
 				check := is.New(t)
-				ignoredAsTooHigh := tc.values[0] == "1e999" || strings.HasPrefix(tc.values[0], "9") || strings.HasPrefix(tc.values[0], "11")
-				if tc.limited || before != nil && !ignoredAsTooHigh {
+				highLimit := tc.values[0] == "1e999" || strings.HasPrefix(tc.values[0], "9") || strings.HasPrefix(tc.values[0], "11")
+				if tc.limited || before != nil && !highLimit {
 					check.True(float64(got[http.StatusOK]) <= 6*1.3+5)
 					check.Equal(got[http.StatusOK]+got[http.StatusServiceUnavailable], requests)
 				} else {
@@ -165,7 +165,7 @@
 			})
 			check := is.New(t)
 			check.Equal(overLimit(rs), nil)
-			check.True(failed > 20) // Number of failed requests, which would all be retried at rs[1].
+			check.True(failed > 20) // All of these requests fail, and would be retried at rs[1].
 		})
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -207,14 +207,14 @@
 // When a caller disconnects, the connection to the replica is closed within half a second.
 func TestCancellationByTheCallerReachesTheReplica(t *testing.T) {
 	rs := engines(1, 100)
-	var closed atomic.Int64 // Nanoseconds from the first event to the end of the connection.
+	var closeDelay atomic.Int64 // Nanoseconds from the first event to the end of the connection.
 	rs[0].Handle = func(_ int, x *platformtest.Exchange) bool {
 		x.RecordRun()
 		began := time.Now()
 		x.Printf("%s", x.Head(200, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"))
 		x.Event(1)
 		_, _ = io.ReadAll(x.Conn)
-		closed.Store(int64(time.Since(began)))
+		closeDelay.Store(int64(time.Since(began)))
 		return true
 	}
 	runCluster(t, 1, rs, func(is *is.I, cl *testCluster) {
@@ -222,7 +222,7 @@
 		defer cancel()
 		cl.sendContext(ctx, 0, "POST", "/s/", nil)
 		time.Sleep(time.Second)
-		took := time.Duration(closed.Load())
+		took := time.Duration(closeDelay.Load())
 		is.True(took > 0 && took < 500*time.Millisecond)
 	})
 }
@@ -308,8 +308,8 @@
 		return false
 	}
 	runCluster(t, 1, rs, func(is *is.I, cl *testCluster) {
-		const slow = 80 // Bytes a second, so that a request is in transit for nearly two seconds.
-		cl.net.Add(&simnet.End{Name: rs[0].Addr, Up: &simnet.Link{}, Down: &simnet.Link{Rate: slow}, Serve: rs[0].Serve})
+		const linkRate = 80 // Bytes a second, so that a request is in transit for nearly two seconds.
+		cl.net.Add(&simnet.End{Name: rs[0].Addr, Up: &simnet.Link{}, Down: &simnet.Link{Rate: linkRate}, Serve: rs[0].Serve})
 		cl.sendReports(0, func() []peers.Status { // Its agent doesn't report the slow link.
 			return []peers.Status{{Addr: rs[0].Addr, Hall: "h1", Model: "m", Version: 1, Reached: true}}
 		})
