--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -276,7 +276,7 @@
 		time.Sleep(time.Second)
 		is.Equal(cl.send(0, "POST", "/s/", nil).status, http.StatusOK) // The deadline of version 1 has not passed.
 		cl.store.Put("op/version/m", platformtest.Body{"model": "m", "version": 3})
-		time.Sleep(6800 * time.Millisecond) // The deadline counts from the change to 2, not to 3.
+		time.Sleep(6800 * time.Millisecond) // The deadline is 8 s after the change to 2, not to 3.
 		before := countRuns(rs)
 		is.Equal(cl.send(0, "POST", "/s/", nil).status, http.StatusServiceUnavailable)
 		rec := rs[0].Record("ready") // The list has version 3, and the replica version 1.
