--- a/cmd/poststand-standin/cmd/engine.go
+++ b/cmd/poststand-standin/cmd/engine.go
@@ -38,6 +38,6 @@
 	}
 	c.Flags().StringVar(&addr, "listen", "127.0.0.1:7300", "address")
 	c.Flags().StringVar(&p.Name, "name", "plain", "name of the service")
-	c.Flags().DurationVar(&p.Takes, "takes", 2*time.Millisecond, "duration of a request")
+	c.Flags().DurationVar(&p.ServiceTime, "takes", 2*time.Millisecond, "duration of a request")
 	return c
 }
--- a/cmd/poststand-standin/cmd/publish.go
+++ b/cmd/poststand-standin/cmd/publish.go
@@ -77,7 +77,7 @@
 	}
 	_, err = c.OutOrStdout().Write(out)
 	if err != nil {
-		return fault.Wrap(fault.Closed, err, "output")
+		return fault.Wrap(fault.ConnectionLost, err, "output")
 	}
 	return nil
 }
--- a/cmd/poststand-standin/cmd/root.go
+++ b/cmd/poststand-standin/cmd/root.go
@@ -54,6 +54,6 @@
 		if errors.Is(err, http.ErrServerClosed) {
 			return nil
 		}
-		return fault.Wrap(fault.Closed, err, "serve")
+		return fault.Wrap(fault.ConnectionLost, err, "serve")
 	}
 }
--- a/cmd/poststand/cmd/plan.go
+++ b/cmd/poststand/cmd/plan.go
@@ -89,17 +89,17 @@
 			}
 		}
 		if _, err := fmt.Fprintln(w, line); err != nil {
-			return fault.Wrap(fault.Closed, err, "output")
+			return fault.Wrap(fault.ConnectionLost, err, "output")
 		}
 	}
-	for _, key := range rendezvous.Sorted(p.Short) {
-		if _, err := fmt.Fprintf(w, "short=%s replicas=%d\n", key, p.Short[key]); err != nil {
-			return fault.Wrap(fault.Closed, err, "output")
+	for _, key := range rendezvous.Sorted(p.Shortfall) {
+		if _, err := fmt.Fprintf(w, "short=%s replicas=%d\n", key, p.Shortfall[key]); err != nil {
+			return fault.Wrap(fault.ConnectionLost, err, "output")
 		}
 	}
 	if oldPlacement != nil {
 		if _, err := fmt.Fprintf(w, "changed=%d\n", changed); err != nil {
-			return fault.Wrap(fault.Closed, err, "output")
+			return fault.Wrap(fault.ConnectionLost, err, "output")
 		}
 	}
 	return nil
--- a/cmd/poststand/cmd/relay.go
+++ b/cmd/poststand/cmd/relay.go
@@ -33,7 +33,7 @@
 				return err
 			}
 			t := &platform.Translator{OnInvalid: logInvalidRecord}
-			g, err := relay.New(s, relay.Options{Headers: platform.Dialect, Follower: newStoreFollower(s.Store), BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.Precedence})
+			g, err := relay.New(s, relay.Options{Headers: platform.HeaderNames, Follower: newStoreFollower(s.Store), BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.HoldPolicy})
 			if err != nil {
 				return err
 			}
@@ -71,7 +71,7 @@
 // newStoreFollower returns a follower of the platform's store at addr.
 func newStoreFollower(addr string) *peers.Follower {
 	s := &platform.Store{Addr: addr, HTTP: newPlatformClient(), OnNewEra: logNewEra}
-	return &peers.Follower{ReadAll: s.Whole, Watch: s.Watch, Newest: s.Newest}
+	return &peers.Follower{ReadAll: s.ReadAll, Watch: s.Watch, Newest: s.NewestPosition}
 }
 
 func logNewEra(era, previous uint64, path string, status int) {
--- a/cmd/poststand/cmd/stager.go
+++ b/cmd/poststand/cmd/stager.go
@@ -27,7 +27,7 @@
 			}
 			t := &platform.Translator{OnInvalid: logInvalidRecord}
 			st, err := stager.New(s, stager.Options{
-				Replica: newReplica(s.Replica), Origin: newOrigin(newOriginClient()), Platform: newStoreFollower(s.Store), Catalog: t.Catalog, KeepsHistory: platform.KeepsHistory, Outlasts: platform.Precedence,
+				Replica: newReplica(s.Replica), Origin: newOrigin(newOriginClient()), Platform: newStoreFollower(s.Store), Catalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.HoldPolicy,
 			})
 			if err != nil {
 				return err
--- a/cmd/poststand/cmd/status.go
+++ b/cmd/poststand/cmd/status.go
@@ -143,7 +143,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes))
 	if err != nil {
-		return nil, fault.Wrap(fault.Closed, err, addr)
+		return nil, fault.Wrap(fault.ConnectionLost, err, addr)
 	}
 	return data, nil
 }
--- a/config/config.go
+++ b/config/config.go
@@ -68,12 +68,12 @@
 
 // Organisation is a customer with its share and limits.
 type Organisation struct {
-	Weight   int      `yaml:"weight"`    // Share of a contended queue; 1 by default.
-	Rate     float64  `yaml:"rate"`      // Requests per second over all gateways; 0 is no limit.
-	InFlight int      `yaml:"in_flight"` // Concurrent requests over all gateways; 0 is no limit.
-	Keys     []string `yaml:"-"`         // API keys that identify the organisation's requests.
-	Rank     int      `yaml:"-"`         // Priority; 0 is the most urgent. Overrides the route's if Ranked.
-	Ranked   bool     `yaml:"-"`
+	Weight      int      `yaml:"weight"`    // Share of a contended queue; 1 by default.
+	Rate        float64  `yaml:"rate"`      // Requests per second over all gateways; 0 is no limit.
+	InFlight    int      `yaml:"in_flight"` // Concurrent requests over all gateways; 0 is no limit.
+	APIKeys     []string `yaml:"-"`         // API keys that identify the organisation's requests.
+	Priority    int      `yaml:"-"`         // Priority; 0 is the most urgent. Overrides the route's if Ranked.
+	HasPriority bool     `yaml:"-"`
 }
 
 // Limits bounds the queues, deadlines and retries of gateways.
@@ -144,9 +144,9 @@
 	}
 }
 
-// Wanted returns the manifest digest of the version that s declares, or the empty string
+// VersionDigest returns the manifest digest of the version that s declares, or the empty string
 // for a plain service.
-func (c *Config) Wanted(s Service) string {
+func (c *Config) VersionDigest(s Service) string {
 	return c.Models[s.Model].Versions[s.Version].Manifest
 }
 
--- a/config/place.go
+++ b/config/place.go
@@ -9,7 +9,7 @@
 type Placement struct {
 	ByBox     map[string]string   // The service of each box that is assigned to one.
 	ByService map[string][]string // The boxes of each service, by hall and rank.
-	Short     map[string]int      // Number of replicas without a box, by "service/hall".
+	Shortfall map[string]int      // Number of replicas without a box, by "service/hall".
 }
 
 // Place computes the placement for a configuration and the boxes of the fleet list. It is
@@ -17,7 +17,7 @@
 // at most one. A leaving box is not assigned, so its successor starts to load while the
 // leaving box still finishes its running requests.
 func Place(cfg *Config, boxes map[string]fleet.Box) *Placement {
-	p := &Placement{ByBox: map[string]string{}, ByService: map[string][]string{}, Short: map[string]int{}}
+	p := &Placement{ByBox: map[string]string{}, ByService: map[string][]string{}, Shortfall: map[string]int{}}
 	free := map[[2]string][]string{}
 	for _, b := range fleet.Live(boxes) {
 		key := [2]string{b.Hall, b.Class}
@@ -32,7 +32,7 @@
 			p.assign(name, ranked[:n])
 			free[key] = ranked[n:]
 			if short := s.Replicas[hall] - n; short > 0 {
-				p.Short[name+"/"+hall] = short
+				p.Shortfall[name+"/"+hall] = short
 			}
 		}
 	}
--- a/config/place_test.go
+++ b/config/place_test.go
@@ -45,8 +45,8 @@
 						t.Fatalf("%s is placed on %s, which serves %q", name, b, p.ByBox[b])
 					}
 				}
-				if got != want || got+p.Short[name+"/"+hall] != cfg.Services[name].Replicas[hall] {
-					t.Fatalf("%s in %s has %d of %d, short %d", name, hall, got, want, p.Short[name+"/"+hall])
+				if got != want || got+p.Shortfall[name+"/"+hall] != cfg.Services[name].Replicas[hall] {
+					t.Fatalf("%s in %s has %d of %d, short %d", name, hall, got, want, p.Shortfall[name+"/"+hall])
 				}
 				live -= got
 			}
--- a/config/route.go
+++ b/config/route.go
@@ -16,17 +16,17 @@
 
 // Route sends requests for a host and path prefix to services.
 type Route struct {
-	Host      string
-	Prefix    string // Begins and ends with a slash; the longest match wins.
-	Kind      string // RouteSafe, RouteUnsafe or RouteStream.
-	Timeout   time.Duration
-	Aim       time.Duration  // Target latency: an answer (for a stream, its first event) within it has full value.
-	Gap       time.Duration  // The longest pause between two events of a stream that meets the target.
-	Attempts  int            // Maximum number of attempts for one request.
-	Rank      int            // Priority; 0 is the most urgent.
-	Services  map[string]int // Weights by service.
-	Public    bool           // Requests need no API key.
-	Resumable bool           // An interrupted stream may be resumed on another upstream.
+	Host          string
+	Prefix        string // Begins and ends with a slash; the longest match wins.
+	Kind          string // RouteSafe, RouteUnsafe or RouteStream.
+	Timeout       time.Duration
+	TargetLatency time.Duration  // Target latency: an answer (for a stream, its first event) within it has full value.
+	TargetGap     time.Duration  // The longest pause between two events of a stream that meets the target.
+	MaxAttempts   int            // Maximum number of attempts for one request.
+	Priority      int            // Priority; 0 is the most urgent.
+	Services      map[string]int // Weights by service.
+	Public        bool           // Requests need no API key.
+	Resumable     bool           // An interrupted stream may be resumed on another upstream.
 }
 
 // Repeatable reports whether a request of the route may run more than once.
@@ -37,36 +37,36 @@
 // Engine describes the speed of the engines of a service. All values are for one whole
 // replica.
 type Engine struct {
-	Slots       int           // Requests that decode at the same time.
-	Step        time.Duration // Base time of a decoding step, which yields one token for each decoding request.
-	PerSequence time.Duration // Added to a step by each decoding request.
-	PerContext  time.Duration // Added to a step by each 1,000 tokens of the requests' contexts.
-	ReadRate    float64       // Prompt tokens prefilled per second.
-	PairsCost   time.Duration // Prefill time for a million pairs of a token and an earlier token.
-	Chunk       int           // Prompt tokens prefilled in one step.
-	Stride      int           // Decoding steps for each prefill pass while requests decode.
-	Memory      int           // Capacity of the KV cache in tokens.
-	UsualPrompt int           // Mean length of a prompt in tokens.
-	UsualAnswer int           // Mean length of an answer in tokens.
-	Layers      int           // Layers of the model.
-	Chunks      int           // Number of chunks of a version of the weights.
-	ChunkBytes  int           // Size of a chunk in bytes.
+	Slots               int           // Requests that decode at the same time.
+	StepTime            time.Duration // Base time of a decoding step, which yields one token for each decoding request.
+	StepTimePerSequence time.Duration // Added to a step by each decoding request.
+	StepTimePerContext  time.Duration // Added to a step by each 1,000 tokens of the requests' contexts.
+	PrefillRate         float64       // Prompt tokens prefilled per second.
+	PrefillPairsTime    time.Duration // Prefill time for a million pairs of a token and an earlier token.
+	PrefillChunk        int           // Prompt tokens prefilled in one step.
+	StepsPerPrefill     int           // Decoding steps for each prefill pass while requests decode.
+	KVCapacity          int           // Capacity of the KV cache in tokens.
+	MeanPromptTokens    int           // Mean length of a prompt in tokens.
+	MeanAnswerTokens    int           // Mean length of an answer in tokens.
+	Layers              int           // Layers of the model.
+	Chunks              int           // Number of chunks of a version of the weights.
+	ChunkBytes          int           // Size of a chunk in bytes.
 }
 
 // CallerLimits bounds the size and timing of callers' requests.
 type CallerLimits struct {
-	HeaderBytes int
-	BodyBytes   int
-	HeaderWait  time.Duration
-	IdleWait    time.Duration
+	HeaderBytes   int
+	BodyBytes     int
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Routing finds the route of a request and the owner of an API key. It is built once for
 // each configuration and is immutable.
 type Routing struct {
-	byHost map[string][]namedRoute // Ordered by prefix length, longest first.
-	owners map[string]string       // The organisation of each API key.
-	Keyed  bool                    // Requests need an API key, except on public routes.
+	byHost      map[string][]namedRoute // Ordered by prefix length, longest first.
+	owners      map[string]string       // The organisation of each API key.
+	KeyRequired bool                    // Requests need an API key, except on public routes.
 }
 
 type namedRoute struct {
@@ -76,7 +76,7 @@
 
 // NewRouting builds the look-up tables of a configuration.
 func NewRouting(cfg *Config) *Routing {
-	t := &Routing{byHost: map[string][]namedRoute{}, owners: map[string]string{}, Keyed: len(cfg.Organisations) > 0}
+	t := &Routing{byHost: map[string][]namedRoute{}, owners: map[string]string{}, KeyRequired: len(cfg.Organisations) > 0}
 	for name, r := range cfg.Routes {
 		t.byHost[r.Host] = append(t.byHost[r.Host], namedRoute{name, r})
 	}
@@ -86,7 +86,7 @@
 		})
 	}
 	for name, o := range cfg.Organisations {
-		for _, k := range o.Keys {
+		for _, k := range o.APIKeys {
 			t.owners[k] = name
 		}
 	}
--- a/dispatch/gate.go
+++ b/dispatch/gate.go
@@ -223,7 +223,7 @@
 		return r, nil
 	}
 	if !home.IsHome {
-		return nil, fault.New(fault.NotHome, "")
+		return nil, fault.New(fault.NotKeyHome, "")
 	}
 	if !d.Unsafe {
 		return nil, nil
@@ -232,7 +232,7 @@
 		return nil, fault.New(fault.ViewExpired, "")
 	}
 	if now.Before(home.Since.Add(g.keyWindow())) {
-		return nil, fault.New(fault.HomeRecovering, "")
+		return nil, fault.New(fault.KeyHomeRecovering, "")
 	}
 	return nil, nil
 }
--- a/dispatch/gate_test.go
+++ b/dispatch/gate_test.go
@@ -63,10 +63,10 @@
 			}
 			return newDispatch(1, later)
 		}, want: fault.QueueFull},
-		{name: "a key that has another home", make: func(*Gate) *Dispatch { return newKeyedDispatch(1, "k", later) }, want: fault.NotHome},
+		{name: "a key that has another home", make: func(*Gate) *Dispatch { return newKeyedDispatch(1, "k", later) }, want: fault.NotKeyHome},
 		{
 			name: "a key whose home is recovering", make: func(*Gate) *Dispatch { return newKeyedDispatch(1, "k", later) },
-			home: KeyHome{IsHome: true, Since: epoch.Add(-time.Second), FreshUntil: later}, want: fault.HomeRecovering,
+			home: KeyHome{IsHome: true, Since: epoch.Add(-time.Second), FreshUntil: later}, want: fault.KeyHomeRecovering,
 		},
 		{
 			name: "a key with an expired view", make: func(*Gate) *Dispatch { return newKeyedDispatch(1, "k", later) },
@@ -310,7 +310,7 @@
 		d.ID.Attempt = rapid.IntRange(0, 5).Draw(t, "attempt")
 		r := Result{
 			Outcome:       rapid.SampledFrom([]Outcome{Unknown, NotRun, Done}).Draw(t, "outcome"),
-			Reason:        rapid.SampledFrom([]fault.Code{fault.QueueFull, fault.Closed, fault.KeyReused, fault.Draining}).Draw(t, "reason"),
+			Reason:        rapid.SampledFrom([]fault.Code{fault.QueueFull, fault.ConnectionLost, fault.KeyReused, fault.Draining}).Draw(t, "reason"),
 			AnswerStarted: rapid.Bool().Draw(t, "begun"),
 		}
 		now := epoch.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -95,8 +95,8 @@
 // every box.
 func retryable(c fault.Code) bool {
 	switch c {
-	case fault.BadRequest, fault.KeyReused, fault.ViewExpired, fault.HomeRecovering,
-		fault.HomeUnreachable, fault.PastDeadline, fault.Cancelled, fault.TooLarge:
+	case fault.BadRequest, fault.KeyReused, fault.ViewExpired, fault.KeyHomeRecovering,
+		fault.KeyHomeUnreachable, fault.PastDeadline, fault.Cancelled, fault.TooLarge:
 		return false
 	}
 	return true
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -161,7 +161,7 @@
 	}
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, fault.Wrap(fault.Closed, err, digest)
+		return nil, fault.Wrap(fault.ConnectionLost, err, digest)
 	}
 	return data, nil
 }
--- a/fault/fault.go
+++ b/fault/fault.go
@@ -12,54 +12,54 @@
 
 // Codes of transport errors.
 const (
-	Garbage       Code = "garbage"                  // Bytes that are not a valid frame or message.
-	TooLarge      Code = "too_large"                // A frame, body or document exceeds its size limit.
-	OldProtocol   Code = "old_protocol"             // The peer uses an unsupported protocol version.
-	OtherFleet    Code = "other_cluster"            // The peer belongs to another cluster.
-	Closed        Code = "connection_lost"          // The connection ended.
-	Stalled       Code = "link_stalled"             // Nothing arrived before the deadline.
-	UnknownStream Code = "frame_for_unknown_stream" // A frame was dropped because its stream has ended.
-	Overflow      Code = "stream_overflow"          // The reader of a stream was too slow and its buffer filled up.
-	Busy          Code = "busy"                     // A bounded table or queue is full.
-	Unsupported   Code = "unsupported"              // There is no handler for this message.
-	Unreachable   Code = "unreachable"              // Dialling failed.
-	Cancelled     Code = "cancelled"                // The caller cancelled the request.
-	Internal      Code = "internal"                 // An invariant was violated.
-	BadRequest    Code = "bad_request"              // The request of a caller is malformed.
-	Timeout       Code = "deadline_exceeded"        // The deadline passed.
+	Garbage        Code = "garbage"                  // Bytes that are not a valid frame or message.
+	TooLarge       Code = "too_large"                // A frame, body or document exceeds its size limit.
+	OldProtocol    Code = "old_protocol"             // The peer uses an unsupported protocol version.
+	OtherCluster   Code = "other_cluster"            // The peer belongs to another cluster.
+	ConnectionLost Code = "connection_lost"          // The connection ended.
+	LinkStalled    Code = "link_stalled"             // Nothing arrived before the deadline.
+	UnknownStream  Code = "frame_for_unknown_stream" // A frame was dropped because its stream has ended.
+	StreamOverflow Code = "stream_overflow"          // The reader of a stream was too slow and its buffer filled up.
+	Busy           Code = "busy"                     // A bounded table or queue is full.
+	Unsupported    Code = "unsupported"              // There is no handler for this message.
+	Unreachable    Code = "unreachable"              // Dialling failed.
+	Cancelled      Code = "cancelled"                // The caller cancelled the request.
+	Internal       Code = "internal"                 // An invariant was violated.
+	BadRequest     Code = "bad_request"              // The request of a caller is malformed.
+	Timeout        Code = "deadline_exceeded"        // The deadline passed.
 )
 
 // Codes of refusals by gateways and agents.
 const (
-	NoService        Code = "no_such_service"
-	UnknownKey       Code = "unknown_key"
-	NoUpstream       Code = "no_upstream_ready"
-	UpstreamLeaving  Code = "upstream_leaving" // It announced that it is leaving, or was removed, before the request was sent.
-	UpstreamResting  Code = "upstream_resting" // It asked for backoff.
-	UpstreamLimited  Code = "upstream_limited" // No permit is left under the rate limit that it set.
-	QueueFull        Code = "queue_full"
-	RateLimited      Code = "rate_limited"
-	Draining         Code = "draining"
-	NotReady         Code = "not_ready"
-	WrongIncarnation Code = "wrong_incarnation"
-	WrongVersion     Code = "wrong_version"
-	StaleView        Code = "stale_view"
-	PastDeadline     Code = "past_deadline"
-	Fenced           Code = "fenced"
-	Duplicate        Code = "duplicate"
-	TableFull        Code = "table_full"
-	NotHome          Code = "not_key_home"
-	HomeRecovering   Code = "key_home_recovering"
-	HomeUnreachable  Code = "key_home_unreachable"
-	ViewExpired      Code = "view_expired"
-	KeyReused        Code = "key_reused"
-	RetryBudget      Code = "retry_budget_spent"
-	UpstreamFailed   Code = "upstream_failed"
-	MixedVersion     Code = "mixed_version"
-	Truncated        Code = "answer_truncated"
-	Moved            Code = "moved" // The stream continues on another replica because its replica changes version.
-	OutcomeUnknown   Code = "outcome_unknown"
-	Quarantined      Code = "request_quarantined" // Replicas terminated each time that they ran the request.
+	NoService          Code = "no_such_service"
+	UnknownKey         Code = "unknown_key"
+	NoUpstream         Code = "no_upstream_ready"
+	UpstreamLeaving    Code = "upstream_leaving" // It announced that it is leaving, or was removed, before the request was sent.
+	UpstreamBackingOff Code = "upstream_resting" // It asked for backoff.
+	UpstreamLimited    Code = "upstream_limited" // No permit is left under the rate limit that it set.
+	QueueFull          Code = "queue_full"
+	RateLimited        Code = "rate_limited"
+	Draining           Code = "draining"
+	NotReady           Code = "not_ready"
+	WrongIncarnation   Code = "wrong_incarnation"
+	WrongVersion       Code = "wrong_version"
+	StaleView          Code = "stale_view"
+	PastDeadline       Code = "past_deadline"
+	Fenced             Code = "fenced"
+	Duplicate          Code = "duplicate"
+	TableFull          Code = "table_full"
+	NotKeyHome         Code = "not_key_home"
+	KeyHomeRecovering  Code = "key_home_recovering"
+	KeyHomeUnreachable Code = "key_home_unreachable"
+	ViewExpired        Code = "view_expired"
+	KeyReused          Code = "key_reused"
+	RetryBudget        Code = "retry_budget_spent"
+	UpstreamFailed     Code = "upstream_failed"
+	MixedVersion       Code = "mixed_version"
+	Truncated          Code = "answer_truncated"
+	Moved              Code = "moved" // The stream continues on another replica because its replica changes version.
+	OutcomeUnknown     Code = "outcome_unknown"
+	Quarantined        Code = "request_quarantined" // Replicas terminated each time that they ran the request.
 )
 
 // Codes of errors about weights and configuration.
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -78,8 +78,8 @@
 		Box: s.Box, Hall: s.Hall, Addr: s.Listen, Pool: a.peerPool, Join: s.Join, Holder: a.holder,
 		Event: func(name string, c fault.Code) { m.Event("feed_"+name, string(c)) },
 	}
-	if s.LinkBPS > 0 {
-		a.linkLimiter = rate.NewLimiter(rate.Limit(s.LinkBPS), weightsPartBytes)
+	if s.LinkBytesPerSecond > 0 {
+		a.linkLimiter = rate.NewLimiter(rate.Limit(s.LinkBytesPerSecond), weightsPartBytes)
 	}
 	a.exchange = a.newExchange(o)
 	a.loader = &loader{agent: a}
@@ -143,7 +143,7 @@
 	if a.linkLimiter == nil {
 		return nil
 	}
-	limit := rate.Limit(a.Settings.LinkBPS)
+	limit := rate.Limit(a.Settings.LinkBytesPerSecond)
 	if cfg := a.holder.Get().Config; cfg != nil && !a.gate.Idle() {
 		limit *= rate.Limit(cfg.Weights.LinkPercent) / 100
 	}
@@ -170,10 +170,10 @@
 	}
 	srv := a.Server()
 	var k kernel.Kernel
-	a.Duties(&k)
+	a.AddTasks(&k)
 	k.Add("peers", srv, func(ctx context.Context) error { return srv.Serve(ctx, ln) })
 	k.AddTask(func(ctx context.Context) error {
-		return telemetry.ServeHTTP(ctx, source, &http.Server{Handler: a.Source()})
+		return telemetry.ServeHTTP(ctx, source, &http.Server{Handler: a.SourceHandler()})
 	})
 	k.AddTask(func(ctx context.Context) error {
 		return telemetry.ServeHTTP(ctx, admin, &http.Server{Handler: a.admin().Handler()})
@@ -191,8 +191,8 @@
 	}
 }
 
-// Duties adds the background tasks of the agent to k.
-func (a *Agent) Duties(k *kernel.Kernel) {
+// AddTasks adds the background tasks of the agent to k.
+func (a *Agent) AddTasks(k *kernel.Kernel) {
 	k.Add("feed", a.feed, a.feed.Run)
 	k.Add("loader", a.loader, a.loader.run)
 	k.Add("homes", &a.homes, a.watchHomes)
@@ -212,7 +212,7 @@
 func (a *Agent) drain(stop, taskCtx context.Context) error {
 	select {
 	case <-stop.Done():
-		a.Drain(time.Now().Add(a.Settings.DrainFor))
+		a.Drain(time.Now().Add(a.Settings.DrainTimeout))
 	case <-taskCtx.Done():
 	}
 	return nil
--- a/internal/agent/loader.go
+++ b/internal/agent/loader.go
@@ -69,7 +69,7 @@
 		return target{Revision: v.Revision()}
 	}
 	return target{
-		Service: name, Kind: s.Kind, Digest: v.Config.Wanted(s), Adapters: v.Config.AdapterDigests(s),
+		Service: name, Kind: s.Kind, Digest: v.Config.VersionDigest(s), Adapters: v.Config.AdapterDigests(s),
 		Role: s.Role, Revision: v.Revision(),
 	}
 }
@@ -300,7 +300,7 @@
 		Digest: t.Digest, Adapters: t.Adapters, Role: t.Role, Source: "http://" + a.Settings.Source,
 	})
 	if err != nil || !confirms(s, t) {
-		a.Metrics.Failed("load_failed", err)
+		a.Metrics.Failure("load_failed", err)
 		telemetry.LogError(err, "load_failed", "digest", t.Digest)
 		l.setLoaded(target{})
 		l.setState("load_failed")
@@ -327,7 +327,7 @@
 	if err == nil && confirms(s, t) {
 		return
 	}
-	l.agent.Metrics.Failed("engine_changed", err)
+	l.agent.Metrics.Failure("engine_changed", err)
 	l.agent.gate.Close()
 	l.setLoaded(target{})
 	l.setState("engine_changed")
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -34,7 +34,7 @@
 	}
 	err := a.execute(ctx, rec)
 	if err != nil {
-		a.Metrics.Failed("run_failed", err)
+		a.Metrics.Failure("run_failed", err)
 		rec.Answer.Fail(err)
 	}
 	a.gate.Finish(time.Now(), rec)
@@ -177,7 +177,7 @@
 		r.events++
 	}
 	if err := sc.Err(); err != nil {
-		return fault.Wrap(fault.Closed, err, "stream")
+		return fault.Wrap(fault.ConnectionLost, err, "stream")
 	}
 	return fault.New(fault.Truncated, "no last event")
 }
--- a/internal/agent/serve.go
+++ b/internal/agent/serve.go
@@ -71,7 +71,7 @@
 	a.Metrics.Refused(code)
 	r := &dispatch.Refusal{ID: id, Reason: code, MayHaveRun: code == fault.Duplicate || code == fault.OutcomeUnknown}
 	switch code {
-	case fault.HomeRecovering:
+	case fault.KeyHomeRecovering:
 		r.RetryAt = a.started.Add(a.homes.keyWindow())
 	case fault.QueueFull, fault.TableFull, fault.ViewExpired:
 		r.RetryAt = time.Now().Add(time.Second + rand.N(time.Second))
--- a/internal/agent/source.go
+++ b/internal/agent/source.go
@@ -7,9 +7,9 @@
 	"github.com/poststand/poststand/weights"
 )
 
-// Source returns the HTTP handler from which the engine of this box pulls manifests and
+// SourceHandler returns the HTTP handler from which the engine of this box pulls manifests and
 // chunks that the box holds.
-func (a *Agent) Source() http.Handler {
+func (a *Agent) SourceHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /blobs/{digest}", func(w http.ResponseWriter, r *http.Request) {
 		data, ok := a.exchange.Lookup(r.PathValue("digest"))
--- a/internal/direct/announcements_test.go
+++ b/internal/direct/announcements_test.go
@@ -102,7 +102,7 @@
 			c.addViolation("%s: %s", e.ID, v)
 		}
 	}
-	for _, o := range e.OverLimit(c.wasDownBetween) {
+	for _, o := range e.LimitViolations(c.wasDownBetween) {
 		c.addViolation("LIMIT %s: %s", e.ID, o)
 	}
 }
--- a/internal/direct/faults_test.go
+++ b/internal/direct/faults_test.go
@@ -177,9 +177,9 @@
 		if e == nil {
 			return
 		}
-		e.SetPace(factor)
+		e.SetSlowdown(factor)
 		w.sleep(slowFor)
-		e.SetPace(1)
+		e.SetSlowdown(1)
 	}
 }
 
--- a/internal/direct/limits_test.go
+++ b/internal/direct/limits_test.go
@@ -61,7 +61,7 @@
 		w.sleep(6 * time.Second)
 		w.setTarget(2)
 		w.sleep(14 * time.Second)
-		loaded, overLimit := e.LoadedVersion(), e.OverLimit(nil)
+		loaded, overLimit := e.LoadedVersion(), e.LimitViolations(nil)
 		w.close()
 		check.Equal(loaded, uint64(2))
 		check.Equal(overLimit, nil)
--- a/internal/direct/process_test.go
+++ b/internal/direct/process_test.go
@@ -25,12 +25,12 @@
 	w.checker.beginOutage(g.addr)() // The state of the process before it is lost.
 	f, t := w.follower(g.addr)
 	r, err := relay.New(&settings.Relay{
-		Own: settings.Own{Cluster: "c", Box: g.addr, Hall: g.hall, Listen: g.addr, Store: storeAddr, Join: w.seeds()},
-		RelayBounds: settings.RelayBounds{
-			GraceFor: 8 * time.Second, VersionWithin: versionWithin, ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second,
+		DirectCommon: settings.DirectCommon{Cluster: "c", Box: g.addr, Hall: g.hall, Listen: g.addr, Store: storeAddr, Join: w.seeds()},
+		RelayReloadable: settings.RelayReloadable{
+			GracePeriod: 8 * time.Second, VersionWithin: versionWithin, ApplyWithin: 2 * time.Second, DrainWithin: 2 * time.Second,
 			RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 30,
 		},
-	}, relay.Options{Headers: platform.Dialect, BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.Precedence, Follower: f, Dial: w.dialer(g.addr)})
+	}, relay.Options{Headers: platform.HeaderNames, BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.HoldPolicy, Follower: f, Dial: w.dialer(g.addr)})
 	if err != nil {
 		w.t.Error(err)
 		return
@@ -87,9 +87,9 @@
 	replica := &platform.Replica{Addr: b.replica(), HTTP: w.client(b.agent(), true)}
 	originClient := w.client(b.agent(), false)
 	st, err := stager.New(&settings.Stager{
-		Own:          settings.Own{Cluster: "c", Box: b.name, Hall: b.hall, Listen: b.agent(), Store: storeAddr, Join: w.seeds()},
-		StagerBounds: settings.StagerBounds{VersionWithin: versionWithin, Link: linkMegabits},
-		Replica:      b.replica(), Service: "llm",
+		DirectCommon:     settings.DirectCommon{Cluster: "c", Box: b.name, Hall: b.hall, Listen: b.agent(), Store: storeAddr, Join: w.seeds()},
+		StagerReloadable: settings.StagerReloadable{VersionWithin: versionWithin, Link: linkMegabits},
+		Replica:          b.replica(), Service: "llm",
 	}, stager.Options{
 		Replica: stager.Replica{Report: replica.Report, Order: replica.Order, Stage: replica.Stage, ListStaged: replica.Staged, ReadStaged: replica.ReadStaged},
 		Origin: stager.Origin{
@@ -100,7 +100,7 @@
 				return (&platform.Origin{Addr: addr, HTTP: originClient}).Piece(ctx, model, version, piece)
 			},
 		},
-		Platform: f, Catalog: t.Catalog, KeepsHistory: platform.KeepsHistory, Outlasts: platform.Precedence, Dial: w.dialer(b.agent()),
+		Platform: f, Catalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.HoldPolicy, Dial: w.dialer(b.agent()),
 	})
 	if err != nil {
 		w.t.Error(err)
--- a/internal/direct/world_test.go
+++ b/internal/direct/world_test.go
@@ -191,7 +191,7 @@
 
 func (w *world) follower(from string) (*peers.Follower, *platform.Translator) {
 	s := &platform.Store{Addr: storeAddr, HTTP: w.client(from, true)}
-	return &peers.Follower{ReadAll: s.Whole, Watch: s.Watch, Newest: s.Newest}, &platform.Translator{}
+	return &peers.Follower{ReadAll: s.ReadAll, Watch: s.Watch, Newest: s.NewestPosition}, &platform.Translator{}
 }
 
 // seeds returns the addresses of the gateways that processes join by, one in each hall.
--- a/internal/feed/platform.go
+++ b/internal/feed/platform.go
@@ -92,7 +92,7 @@
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return nil, fault.Wrap(fault.Closed, err, "platform")
+		return nil, fault.Wrap(fault.ConnectionLost, err, "platform")
 	}
 	if int64(len(data)) > limit {
 		return nil, fault.New(fault.TooLarge, "platform answer exceeds the size limit")
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -68,7 +68,7 @@
 		if fault.Is(err, codeCallerGone) {
 			return a.result(dispatch.Unknown, codeCallerGone)
 		}
-		a.gateway.Metrics.Failed("dispatch_lost", err)
+		a.gateway.Metrics.Failure("dispatch_lost", err)
 		if recoveries >= maxRecoveries {
 			return a.result(dispatch.Unknown, fault.CodeOf(err))
 		}
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -36,8 +36,8 @@
 	chatPath        = "/v1/chat/completions"
 )
 
-// Callers returns the HTTP handler for callers.
-func (g *Gateway) Callers() http.Handler {
+// CallerHandler returns the HTTP handler for callers.
+func (g *Gateway) CallerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+chatPath, g.serveChat)
 	mux.HandleFunc("/services/{service}/{path...}", g.servePlain)
@@ -188,7 +188,7 @@
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	out := &writer{gateway: g, w: w, rq: rq}
 	res := g.process(ctx, rq, out.sink())
-	g.Metrics.Whole(time.Since(rq.arrived).Seconds())
+	g.Metrics.FullAnswer(time.Since(rq.arrived).Seconds())
 	g.Metrics.Outcome(res.Outcome.String(), res.Reason)
 	out.finish(res)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,7 +52,7 @@
 // the budget for control traffic.
 func (g *Gateway) pingInterval(wire.Hello) time.Duration {
 	const minInterval, maxInterval, perBox = time.Second, 10 * time.Second, 20 * time.Millisecond
-	return min(maxInterval, max(minInterval, time.Duration(g.router.Size())*perBox))
+	return min(maxInterval, max(minInterval, time.Duration(g.router.Len())*perBox))
 }
 
 // Options replaces dependencies of a gateway in tests. The zero value selects the
@@ -119,8 +119,8 @@
 	}
 }
 
-// Duties adds the background tasks of the gateway to k.
-func (g *Gateway) Duties(k *kernel.Kernel) {
+// AddTasks adds the background tasks of the gateway to k.
+func (g *Gateway) AddTasks(k *kernel.Kernel) {
 	k.Add("feed", g.feed, g.feed.Run)
 	k.Add("subscriptions", &g.router, g.subscribe)
 }
@@ -138,11 +138,11 @@
 	}
 	peers := g.Server()
 	callers := &http.Server{
-		Handler: g.Callers(), ReadHeaderTimeout: s.HeaderWait, ReadTimeout: s.BodyWait,
+		Handler: g.CallerHandler(), ReadHeaderTimeout: s.HeaderTimeout, ReadTimeout: s.BodyTimeout,
 		MaxHeaderBytes: 64 << 10, IdleTimeout: time.Minute,
 	}
 	var k kernel.Kernel
-	g.Duties(&k)
+	g.AddTasks(&k)
 	k.Add("peers", peers, func(ctx context.Context) error { return peers.Serve(ctx, lns[0]) })
 	k.AddTask(func(ctx context.Context) error {
 		return telemetry.ServeHTTP(ctx, lns[1], &http.Server{Handler: g.admin().Handler()})
@@ -169,8 +169,8 @@
 	}
 	telemetry.Log("drain_started", "box", g.Settings.Box)
 	g.draining.Store(true)
-	time.Sleep(g.Settings.LingerFor)
-	ctx, cancel := context.WithTimeout(taskCtx, g.Settings.DrainFor)
+	time.Sleep(g.Settings.LingerPeriod)
+	ctx, cancel := context.WithTimeout(taskCtx, g.Settings.DrainTimeout)
 	defer cancel()
 	err := srv.Shutdown(ctx)
 	telemetry.Log("drain_ended", "box", g.Settings.Box, "whole", err == nil)
--- a/internal/gateway/hop_test.go
+++ b/internal/gateway/hop_test.go
@@ -66,9 +66,9 @@
 		"gw": {Name: "gw", Hall: "h", Class: fleet.ClassGateway, Addr: gwAddr},
 		"ag": {Name: "ag", Hall: "h", Class: "engine", Addr: agAddr},
 	})
-	common := settings.Common{Cluster: "c", Hall: "h", Join: []string{gwAddr}, DrainFor: time.Second, MaxConns: 64}
+	common := settings.Common{Cluster: "c", Hall: "h", Join: []string{gwAddr}, DrainTimeout: time.Second, MaxConns: 64}
 	gs := &settings.Gateway{Common: common, HTTP: callerAddr, Platform: serve(platform), MaxBody: 1 << 20, MaxAnswer: 1 << 20, MaxAttempts: 4}
-	gs.HeaderWait, gs.BodyWait = 300*time.Millisecond, 600*time.Millisecond
+	gs.HeaderTimeout, gs.BodyTimeout = 300*time.Millisecond, 600*time.Millisecond
 	gs.Box, gs.Listen, gs.Admin = "gw", gwAddr, freeAddr()
 	as := &settings.Agent{Common: common, Engine: engineURL, Source: freeAddr(), Origin: serve(origin), Memory: 1 << 24, Strategy: settings.StrategySwarm, Slots: 64, Queue: 64}
 	as.Box, as.Listen, as.Admin = "ag", agAddr, freeAddr()
--- a/internal/gateway/process.go
+++ b/internal/gateway/process.go
@@ -68,7 +68,7 @@
 	for {
 		res := attempts.Add(g.dispatchOnce(ctx, rq, tried, out))
 		now := time.Now()
-		step, code := dispatch.Decide(now, &rq.d, res, g.Settings.MaxAttempts, g.budget.Spend)
+		step, code := dispatch.Decide(now, &rq.d, res, g.Settings.MaxAttempts, g.budget.TrySpend)
 		switch step {
 		case dispatch.Deliver:
 			return res
@@ -134,7 +134,7 @@
 	}
 	switch res.Reason {
 	case "", fault.Cancelled, codeCallerGone:
-	case fault.Unreachable, fault.Closed, fault.Stalled, fault.UpstreamFailed, fault.Truncated, fault.MixedVersion, fault.Timeout:
+	case fault.Unreachable, fault.ConnectionLost, fault.LinkStalled, fault.UpstreamFailed, fault.Truncated, fault.MixedVersion, fault.Timeout:
 		dr.Failed = true
 	default:
 		g.router.RecordRefusal(u.Box.Name, u.Report.Incarnation, res.Reason)
@@ -149,7 +149,7 @@
 		return ""
 	}
 	return g.rollout.Version(time.Now(), route.Target{
-		Service: rq.d.Service, Digest: rq.view.Config.Wanted(rq.service),
+		Service: rq.d.Service, Digest: rq.view.Config.VersionDigest(rq.service),
 		Revision: rq.view.Revision(), MinReady: rq.service.ReadyBeforeTraffic,
 	}, &g.router)
 }
@@ -171,7 +171,7 @@
 	// Which keys an unreachable home has run is unknown, so no other box may run the request.
 	// The outcome may be Unknown rather than NotRun: the home may have received the request
 	// before it became unreachable.
-	res.Reason = fault.HomeUnreachable
+	res.Reason = fault.KeyHomeUnreachable
 	if res.Outcome == dispatch.NotRun {
 		res.RetryAt = g.estimateRetryTime(rq)
 	}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -44,7 +44,7 @@
 	s := &Status{
 		Role: "gateway", Box: g.Settings.Box, Hall: g.Settings.Hall, Revision: v.Revision(), Digest: v.Digest,
 		Fleet: v.Fleet.Version, Fresh: now.Before(v.FreshUntil), Draining: g.draining.Load(),
-		Services: map[string]ServiceLoad{}, Short: v.Placement.Short,
+		Services: map[string]ServiceLoad{}, Short: v.Placement.Shortfall,
 	}
 	if v.Config != nil {
 		for name := range v.Config.Services {
--- a/internal/gateway/writer.go
+++ b/internal/gateway/writer.go
@@ -57,10 +57,10 @@
 		return err
 	}
 	if _, err := o.w.Write(b); err != nil {
-		return fault.Wrap(fault.Closed, err, "caller")
+		return fault.Wrap(fault.ConnectionLost, err, "caller")
 	}
 	if err := rc.Flush(); err != nil {
-		return fault.Wrap(fault.Closed, err, "caller")
+		return fault.Wrap(fault.ConnectionLost, err, "caller")
 	}
 	return nil
 }
@@ -72,7 +72,7 @@
 func setWriteDeadline(w http.ResponseWriter, deadline time.Time) error {
 	err := http.NewResponseController(w).SetWriteDeadline(deadline)
 	if err != nil && !errors.Is(err, http.ErrNotSupported) {
-		return fault.Wrap(fault.Closed, err, "caller")
+		return fault.Wrap(fault.ConnectionLost, err, "caller")
 	}
 	return nil
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -26,15 +26,15 @@
 
 // Dialer connects to other processes of the system.
 type Dialer struct {
-	// Starts reports whether this process is still starting, so that dials use the
+	// Starting reports whether this process is still starting, so that dials use the
 	// shorter startup time-out.
-	Starts  func() bool
-	Connect func(ctx context.Context, addr string) (net.Conn, error) // Establishes the connection; Dial if nil.
+	Starting func() bool
+	Connect  func(ctx context.Context, addr string) (net.Conn, error) // Establishes the connection; Dial if nil.
 }
 
 // Dial connects to a process at addr.
 func (d Dialer) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	if d.Starts() {
+	if d.Starting() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, startupDialTimeout)
 		defer cancel()
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -15,33 +15,33 @@
 
 // Mix holds the relative weight of each kind of request.
 type Mix struct {
-	Whole  int // Chat completions that are not streamed.
-	Stream int // Chat completions, streamed.
-	Plain  int // Calls of plain services that may be retried.
-	Unsafe int // Calls of plain services that must run at most once.
-	Keyed  int // Unsafe calls with an idempotency key, each sent twice, through random gateways.
+	Unstreamed int // Chat completions that are not streamed.
+	Stream     int // Chat completions, streamed.
+	Plain      int // Calls of plain services that may be retried.
+	Unsafe     int // Calls of plain services that must run at most once.
+	Keyed      int // Unsafe calls with an idempotency key, each sent twice, through random gateways.
 }
 
 // Run describes one load. Set its fields, then call Do.
 type Run struct {
-	Gateways      []string // URLs of the gateways.
-	Ledgers       []string // URLs of the stand-ins' ledgers.
-	Services      []string // Model services.
-	Plains        []string // Plain services.
-	Organisations []string
-	Rate          float64       // Requests per second.
-	For           time.Duration // Duration of the load.
-	BurstAt       time.Duration // Start of the burst, from the start of the load.
-	BurstFor      time.Duration
-	BurstFactor   float64 // Factor on Rate during the burst.
-	Timeout       time.Duration
-	Tokens        int
-	VaryTokens    bool // Draw the tokens of each answer from 0.5 to 1.5 times Tokens.
-	Prefixes      int  // Number of different system messages that prompts start with; 0 is none.
-	Mix           Mix
-	Seed          uint64
-	Client        *http.Client // If nil, a client with up to 512 idle connections per gateway is used.
-	GatewaysDie   bool         // Gateways are killed during the load: lost connections count as Cut, not Lost.
+	Gateways         []string // URLs of the gateways.
+	Ledgers          []string // URLs of the stand-ins' ledgers.
+	Services         []string // Model services.
+	PlainServices    []string // Plain services.
+	Organisations    []string
+	Rate             float64       // Requests per second.
+	Duration         time.Duration // Duration of the load.
+	BurstAt          time.Duration // Start of the burst, from the start of the load.
+	BurstFor         time.Duration
+	BurstFactor      float64 // Factor on Rate during the burst.
+	Timeout          time.Duration
+	Tokens           int
+	VaryTokens       bool // Draw the tokens of each answer from 0.5 to 1.5 times Tokens.
+	Prefixes         int  // Number of different system messages that prompts start with; 0 is none.
+	Mix              Mix
+	Seed             uint64
+	Client           *http.Client // If nil, a client with up to 512 idle connections per gateway is used.
+	GatewaysMayCrash bool         // Gateways are killed during the load: lost connections count as Cut, not Lost.
 
 	client     *http.Client
 	mu         sync.Mutex
@@ -100,7 +100,7 @@
 	rnd := rand.New(rand.NewPCG(r.Seed, 1))
 	start := time.Now()
 	offset := time.Duration(0)
-	for i := 0; offset < r.For && ctx.Err() == nil; i++ {
+	for i := 0; offset < r.Duration && ctx.Err() == nil; i++ {
 		time.Sleep(time.Until(start.Add(offset)))
 		q := r.drawRequest(rnd, i)
 		wg.Go(func() { r.send(ctx, q) })
@@ -163,7 +163,7 @@
 	}
 	names := r.Services
 	if q.kind >= kindPlain {
-		names = r.Plains
+		names = r.PlainServices
 	}
 	if len(names) > 0 {
 		q.service = names[rnd.IntN(len(names))]
@@ -180,7 +180,7 @@
 }
 
 func (r *Run) drawKind(rnd *rand.Rand) kind {
-	shares := []int{r.Mix.Whole, r.Mix.Stream, r.Mix.Plain, r.Mix.Unsafe, r.Mix.Keyed}
+	shares := []int{r.Mix.Unstreamed, r.Mix.Stream, r.Mix.Plain, r.Mix.Unsafe, r.Mix.Keyed}
 	total := 0
 	for _, s := range shares {
 		total += s
--- a/internal/load/send.go
+++ b/internal/load/send.go
@@ -57,7 +57,7 @@
 		case p.outcome == "unknown":
 			r.summary.Unknown++
 			r.summary.Refused["unknown_"+p.code]++
-		case r.GatewaysDie && (p.code == codeConnection || p.code == codeTruncated):
+		case r.GatewaysMayCrash && (p.code == codeConnection || p.code == codeTruncated):
 			r.summary.Cut++
 		default:
 			r.summary.Lost++
--- a/internal/peers/late_watch_test.go
+++ b/internal/peers/late_watch_test.go
@@ -28,7 +28,7 @@
 			case <-time.After(time.Until(began.Add(silence))): // A keep-alive ends it.
 			case <-ctx.Done():
 			}
-			return fault.New(fault.Closed, "silent")
+			return fault.New(fault.ConnectionLost, "silent")
 		}
 		m := &mirror.Mirror{}
 		f := &peers.Follower{
--- a/internal/peers/limits.go
+++ b/internal/peers/limits.go
@@ -23,8 +23,10 @@
 	HeardAge  time.Duration // Age of the answer's arrival: the answer was produced before it.
 }
 
-// Life returns the incarnation of the replica that the limit belongs to.
-func (l *ReplicaLimit) Life() fleet.Incarnation { return fleet.Incarnation{ID: l.ID, Born: l.Born} }
+// Incarnation returns the incarnation of the replica that the limit belongs to.
+func (l *ReplicaLimit) Incarnation() fleet.Incarnation {
+	return fleet.Incarnation{ID: l.ID, Born: l.Born}
+}
 
 // Valid reports whether the message is plausible: its values are within bounds.
 func (l *ReplicaLimit) Valid() bool {
--- a/internal/relay/admit.go
+++ b/internal/relay/admit.go
@@ -53,14 +53,14 @@
 // admits reports whether the predicted queue wait at the chosen replica is short enough to
 // send the request.
 func admits(rq *request, c route.Choice) bool {
-	if !c.Engine || rq.route.Aim <= 0 {
+	if !c.Engine || rq.route.TargetLatency <= 0 {
 		return true
 	}
 	share := firstTryShare
 	if rq.retried {
 		share = retryTryShare
 	}
-	return c.QueueWait <= time.Duration(share*float64(rq.route.Aim))
+	return c.QueueWait <= time.Duration(share*float64(rq.route.TargetLatency))
 }
 
 // callerTimeouts records the longest timeout that callers of each route have sent.
--- a/internal/relay/admit_test.go
+++ b/internal/relay/admit_test.go
@@ -32,7 +32,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			rq := &request{route: &config.Route{Aim: tc.aim}, retried: tc.retried}
+			rq := &request{route: &config.Route{TargetLatency: tc.aim}, retried: tc.retried}
 			is.New(t).Equal(admits(rq, tc.to), tc.want)
 		})
 	}
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -57,7 +57,7 @@
 	now := time.Now()
 	a.result.Answered = a.status != 0
 	switch res.Reason {
-	case fault.Unreachable, fault.Closed, fault.Stalled, fault.Truncated, fault.Garbage, fault.UpstreamFailed, fault.MixedVersion:
+	case fault.Unreachable, fault.ConnectionLost, fault.LinkStalled, fault.Truncated, fault.Garbage, fault.UpstreamFailed, fault.MixedVersion:
 		a.result.Failed = ctx.Err() == nil
 	case fault.QueueFull:
 		a.result.Full = true
@@ -226,9 +226,9 @@
 	case isTimeout(err) && !time.Now().Before(a.rq.deadline):
 		return unknown(fault.Timeout)
 	case isTimeout(err):
-		return unknown(fault.Stalled)
+		return unknown(fault.LinkStalled)
 	}
-	return unknown(fault.Closed)
+	return unknown(fault.ConnectionLost)
 }
 
 // readHead reads the header of the response to this request, skipping responses to others.
--- a/internal/relay/callers.go
+++ b/internal/relay/callers.go
@@ -29,7 +29,7 @@
 	}
 	out := &answer{relay: g, w: w, rq: rq}
 	res := g.process(r.Context(), rq, out)
-	g.Metrics.Whole(time.Since(began).Seconds())
+	g.Metrics.FullAnswer(time.Since(began).Seconds())
 	g.Metrics.Outcome(res.Outcome.String(), res.Reason)
 	g.logRequest(rq, out, res)
 	if res.Outcome == dispatch.Done {
@@ -88,9 +88,9 @@
 
 // authenticate determines the organisation of a request by its API key.
 func (rq *request) authenticate(authorization string) error {
-	rq.rank = rq.route.Rank
+	rq.rank = rq.route.Priority
 	routing := rq.catalog.Routing
-	if rq.route.Public || !routing.Keyed {
+	if rq.route.Public || !routing.KeyRequired {
 		return nil
 	}
 	key, ok := strings.CutPrefix(authorization, bearer)
@@ -99,8 +99,8 @@
 		return fault.New(fault.UnknownKey, "")
 	}
 	rq.organisation = owner
-	if o := rq.catalog.Config.Organisations[owner]; o.Ranked {
-		rq.rank = o.Rank
+	if o := rq.catalog.Config.Organisations[owner]; o.HasPriority {
+		rq.rank = o.Priority
 	}
 	return nil
 }
--- a/internal/relay/cluster_test.go
+++ b/internal/relay/cluster_test.go
@@ -104,16 +104,16 @@
 		join = []string{gatewayAddr(0)}
 	}
 	g, err := relay.New(&settings.Relay{
-		Own: settings.Own{
+		DirectCommon: settings.DirectCommon{
 			Cluster: "c", Box: addr, Hall: cl.hallOf(i), Listen: addr, Store: "store:1", Join: join,
 		},
-		RelayBounds: settings.RelayBounds{
-			GraceFor: 8 * time.Second, VersionWithin: 8 * time.Second, ApplyWithin: 2 * time.Second,
+		RelayReloadable: settings.RelayReloadable{
+			GracePeriod: 8 * time.Second, VersionWithin: 8 * time.Second, ApplyWithin: 2 * time.Second,
 			RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 30,
 		},
 	}, relay.Options{
-		Headers: platform.Dialect, BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.Precedence,
-		Follower: &peers.Follower{ReadAll: s.Whole, Watch: s.Watch, Newest: s.Newest},
+		Headers: platform.HeaderNames, BuildCatalog: t.Catalog, KeepsHistory: platform.KeepsHistory, HoldPolicy: platform.HoldPolicy,
+		Follower: &peers.Follower{ReadAll: s.ReadAll, Watch: s.Watch, Newest: s.NewestPosition},
 		Dial: func(ctx context.Context, to string) (net.Conn, error) {
 			if cl.onDial != nil {
 				cl.onDial(to)
--- a/internal/relay/drain.go
+++ b/internal/relay/drain.go
@@ -186,7 +186,7 @@
 	const pollInterval = 50 * time.Millisecond
 	began := time.Now()
 	telemetry.Log("drain_started", "box", g.Settings.Box)
-	noticedBy, end := began.Add(balancerNotice), began.Add(g.bounds.Load().GraceFor-exitMargin)
+	noticedBy, end := began.Add(balancerNotice), began.Add(g.bounds.Load().GracePeriod-exitMargin)
 	g.stopping.Store(&drainTimes{streamsUntil: began.Add(streamCutoff), answersUntil: end.Add(-answerMargin)})
 	left := conns.closeIdle(false)
 	for ; lifetime.Err() == nil && time.Now().Before(noticedBy); kernel.Sleep(lifetime, pollInterval) {
--- a/internal/relay/limit_test.go
+++ b/internal/relay/limit_test.go
@@ -13,7 +13,7 @@
 // overLimit describes the time spans in which replicas received more than their limits.
 func overLimit(rs []*platformtest.Replica) (out []string) {
 	for _, r := range rs {
-		for _, o := range r.OverLimit(nil) {
+		for _, o := range r.LimitViolations(nil) {
 			out = append(out, r.ID+": "+o)
 		}
 	}
--- a/internal/relay/older_build_test.go
+++ b/internal/relay/older_build_test.go
@@ -70,7 +70,7 @@
 	o := &oldPeer{}
 	cl.store.OmitEra.Store(true)
 	s := &platform.Store{Addr: "store:1", HTTP: &http.Client{Transport: &simnet.Transport{Find: func(string) http.Handler { return cl.store }}}}
-	d, err := s.Whole(context.Background())
+	d, err := s.ReadAll(context.Background())
 	cl.store.OmitEra.Store(false)
 	if err != nil {
 		cl.t.Fatal(err)
--- a/internal/relay/permit.go
+++ b/internal/relay/permit.go
@@ -147,14 +147,14 @@
 		return &peers.Permit{NotLimiter: true, Limit: m.Limit}
 	}
 	g.receiveLimit(&m.Limit, now, permitTimeout, from)
-	l := g.table.Limit(m.Limit.Life())
-	p := &peers.Permit{Limit: newReplicaLimit(m.Limit.Life(), l, now)}
+	l := g.table.Limit(m.Limit.Incarnation())
+	p := &peers.Permit{Limit: newReplicaLimit(m.Limit.Incarnation(), l, now)}
 	if !l.Named {
 		p.Granted = true
 		return p
 	}
 	var next time.Time
-	p.Granted, next = g.issuePermit(now, m.Limit.Life(), lim.share(l.PerSecond), m.Rank)
+	p.Granted, next = g.issuePermit(now, m.Limit.Incarnation(), lim.share(l.PerSecond), m.Rank)
 	if !p.Granted {
 		p.NextIn = next.Sub(now)
 		return p
--- a/internal/relay/process.go
+++ b/internal/relay/process.go
@@ -70,7 +70,7 @@
 		if result.Outcome == dispatch.Done {
 			return result
 		}
-		if ctx.Err() != nil || !mayRetry(rq, out, result) || runs >= max(1, rq.route.Attempts) {
+		if ctx.Err() != nil || !mayRetry(rq, out, result) || runs >= max(1, rq.route.MaxAttempts) {
 			break
 		}
 		if g.isQuarantined(time.Now(), rq) {
@@ -113,7 +113,7 @@
 			res.RetryAt = retryAfterBackoff(now, now)
 			return choice, res, false
 		}
-		if arrivals > 0 && !g.retryWindow(rq.service).Spend(now, g.retrySlack()) {
+		if arrivals > 0 && !g.retryWindow(rq.service).TrySpend(now, g.retrySlack()) {
 			g.table.Done(now, choice.Reservation, route.RequestResult{})
 			g.Metrics.Event("retry_budget_spent", "")
 			return choice, notRun(fault.RetryBudget), false
@@ -127,7 +127,7 @@
 	rq.replicaVersions = fmt.Sprint(g.table.CountByVersion(now, rq.service))
 	res := notRun(fault.CodeOf(err))
 	res.RetryAt = g.retryTime(now, rq, 0)
-	if res.Reason == fault.UpstreamResting || res.Reason == fault.UpstreamLimited {
+	if res.Reason == fault.UpstreamBackingOff || res.Reason == fault.UpstreamLimited {
 		res.RetryAt = retryAfterBackoff(now, choice.Availability.BackAt)
 	}
 	return res
@@ -145,7 +145,7 @@
 // reached reports whether an attempt with this result has reached its replica.
 func reached(res dispatch.Result) bool {
 	switch res.Reason {
-	case fault.Unreachable, fault.UpstreamLeaving, fault.UpstreamResting, fault.UpstreamLimited:
+	case fault.Unreachable, fault.UpstreamLeaving, fault.UpstreamBackingOff, fault.UpstreamLimited:
 		return false
 	}
 	return true
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -70,7 +70,7 @@
 	limitQueue notifyQueue[fleet.Incarnation]
 	// endQueue holds the terminations that are to be sent to other gateways.
 	endQueue notifyQueue[replicaEnd]
-	bounds   atomic.Pointer[settings.RelayBounds]
+	bounds   atomic.Pointer[settings.RelayReloadable]
 
 	mu            sync.Mutex
 	retryWindows  map[string]*limit.RetryWindow // Keyed by service; bounded by the configuration.
@@ -91,18 +91,18 @@
 	}
 	g := &Relay{
 		Settings: s, Metrics: m, options: o, startedAt: time.Now(), startDelay: startWait.Draw(), retryWindows: map[string]*limit.RetryWindow{}, limiterStates: map[string]*limiterState{}, limiterBackoff: map[string]time.Time{},
-		table: route.Table{Hall: s.Hall, DelistGrace: delistGrace(&s.RelayBounds)}, conns: connPool{Dial: o.Dial},
+		table: route.Table{Hall: s.Hall, DelistGrace: delistGrace(&s.RelayReloadable)}, conns: connPool{Dial: o.Dial},
 		endProbes: endProbes{Dial: o.Dial},
 	}
 	g.headers = &g.options.Headers
-	g.bounds.Store(&s.RelayBounds)
+	g.bounds.Store(&s.RelayReloadable)
 	g.mirror.KeepsHistory, g.mirror.HoldPolicy, g.mirror.OnEvent = o.KeepsHistory, o.HoldPolicy, peers.LogMirrorEvent
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.handlers = &wire.Handlers{}
 	const ping, stall = 500 * time.Millisecond, 1500 * time.Millisecond
 	g.pool = &wire.Pool{
 		Local: wire.Hello{Cluster: s.Cluster, Box: s.Box, Hall: s.Hall, Role: roleGateway, Incarnation: rand.Uint64() | 1},
-		Codec: Codec, Handlers: g.handlers, Lifetime: g.ctx, Dial: link.Dialer{Starts: g.mirrorEmpty, Connect: o.Dial}.Dial,
+		Codec: Codec, Handlers: g.handlers, Lifetime: g.ctx, Dial: link.Dialer{Starting: g.mirrorEmpty, Connect: o.Dial}.Dial,
 		RedialDelay: peerRedialDelay,
 		Options: wire.Options{
 			PingInterval: ping, StallTimeout: stall, PingIntervalFor: g.pingInterval,
@@ -143,7 +143,9 @@
 // which a replica that has vanished from the list may still be used.
 const delistMargin = 800 * time.Millisecond
 
-func delistGrace(b *settings.RelayBounds) time.Duration { return max(0, b.DrainWithin-delistMargin) }
+func delistGrace(b *settings.RelayReloadable) time.Duration {
+	return max(0, b.DrainWithin-delistMargin)
+}
 
 // startWait is how long a gateway that has just started waits for its peers before it reads
 // the platform itself.
@@ -306,11 +308,11 @@
 // Reload applies new settings. Settings that can be changed only by a restart are refused, and
 // the old settings stay in force.
 func (g *Relay) Reload(s *settings.Relay) error {
-	if !g.Settings.Fixed(s) {
+	if !g.Settings.CanReload(s) {
 		return fault.New(fault.BadConfig, "names and addresses can be changed only by a restart")
 	}
-	g.bounds.Store(&s.RelayBounds)
-	g.table.SetDelistGrace(delistGrace(&s.RelayBounds))
+	g.bounds.Store(&s.RelayReloadable)
+	g.table.SetDelistGrace(delistGrace(&s.RelayReloadable))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, w := range g.retryWindows {
--- a/internal/relay/replicalimit.go
+++ b/internal/relay/replicalimit.go
@@ -38,14 +38,14 @@
 func (g *Relay) mergeLimit(rl *peers.ReplicaLimit, asked time.Time, from string) {
 	now := time.Now()
 	l := route.Limit{Named: rl.Named, PerSecond: rl.PerSecond, Asked: asked, Heard: now.Add(-rl.HeardAge)}
-	before, after := g.table.UpdateLimit(rl.Life(), now, l)
+	before, after := g.table.UpdateLimit(rl.Incarnation(), now, l)
 	if before.SameRate(after) {
 		return
 	}
 	g.Metrics.Event("upstream_limit_learnt", "")
 	telemetry.Log("upstream_limit_learnt", "id", rl.ID, "limit", after, "before", before, "from", from, "heard_ago", rl.HeardAge)
 	if g.limiterOf(rl.ID).addr == g.Settings.Listen {
-		g.limitQueue.add(rl.Life())
+		g.limitQueue.add(rl.Incarnation())
 	}
 }
 
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -75,10 +75,10 @@
 // parseWorkload returns the workload of a request, with the engine's usual values for what its
 // headers do not specify.
 func parseWorkload(names *Headers, h http.Header, e config.Engine) route.Workload {
-	if e.ReadRate <= 0 {
+	if e.PrefillRate <= 0 {
 		return route.Workload{}
 	}
-	w := route.Workload{PromptTokens: e.UsualPrompt, AnswerTokens: e.UsualAnswer}
+	w := route.Workload{PromptTokens: e.MeanPromptTokens, AnswerTokens: e.MeanAnswerTokens}
 	prompt, maxAnswer, _ := strings.Cut(h.Get(names.Tokens), ",")
 	if n, err := strconv.Atoi(strings.TrimSpace(prompt)); err == nil && n >= 0 {
 		w.PromptTokens = n
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -27,7 +27,7 @@
 // not sent to the caller, so that the stream can continue on another replica.
 func (a *attempt) stream(ctx context.Context, resp *http.Response, framed bool) error {
 	buf := make([]byte, 0, 4<<10)
-	gap := max(minGapWait, gapWaitFactor*a.rq.route.Gap)
+	gap := max(minGapWait, gapWaitFactor*a.rq.route.TargetGap)
 	for {
 		if len(buf) == cap(buf) {
 			if len(buf) > maxEventBytes {
@@ -87,7 +87,7 @@
 // shouldMove reports whether the stream should move to another replica.
 func (a *attempt) shouldMove() bool {
 	rq := a.rq
-	return rq.route.Resumable && rq.lastEventID != "" && rq.attempts < max(1, rq.route.Attempts) &&
+	return rq.route.Resumable && rq.lastEventID != "" && rq.attempts < max(1, rq.route.MaxAttempts) &&
 		a.relay.table.ChangingFor(time.Now(), a.to.Reservation) >= moveAfter
 }
 
@@ -102,12 +102,12 @@
 	if err != nil {
 		return false
 	}
-	if to.Predicted > time.Duration(moveGapShare*float64(rq.route.Gap)) || !g.hasPermit(ctx, rq, &to) || !g.retryWindow(rq.service).Spend(now, g.retrySlack()) {
+	if to.Predicted > time.Duration(moveGapShare*float64(rq.route.TargetGap)) || !g.hasPermit(ctx, rq, &to) || !g.retryWindow(rq.service).TrySpend(now, g.retrySlack()) {
 		g.table.Done(now, to.Reservation, route.RequestResult{})
 		return false
 	}
 	rq.attempts++
-	next := &attempt{relay: g, rq: rq, out: a.out, to: to, headTimeout: rq.route.Gap, round: rq.nextStrikeRound(), epoch: rq.quarantineStatus.Epoch}
+	next := &attempt{relay: g, rq: rq, out: a.out, to: to, headTimeout: rq.route.TargetGap, round: rq.nextStrikeRound(), epoch: rq.quarantineStatus.Epoch}
 	resp, res := next.open(ctx)
 	if resp != nil && next.isContinuation(resp) {
 		next.resp, rq.next = resp, next
--- a/internal/relay/suspect.go
+++ b/internal/relay/suspect.go
@@ -49,7 +49,7 @@
 	switch {
 	case res.Outcome == dispatch.Done && a.status < http.StatusMultipleChoices:
 		a.recordServed()
-	case res.Reason == fault.Closed || res.Reason == fault.Truncated:
+	case res.Reason == fault.ConnectionLost || res.Reason == fault.Truncated:
 		a.connectionLost(time.Now())
 	}
 }
--- a/internal/settings/direct.go
+++ b/internal/settings/direct.go
@@ -7,8 +7,8 @@
 	"github.com/poststand/poststand/internal/strict"
 )
 
-// Own holds the settings that Relay and Stager share.
-type Own struct {
+// DirectCommon holds the settings that Relay and Stager share.
+type DirectCommon struct {
 	Cluster string   `yaml:"cluster"` // Peers of other clusters are refused.
 	Box     string   `yaml:"box"`
 	Hall    string   `yaml:"hall"`
@@ -20,16 +20,16 @@
 
 // Relay holds the settings of a gateway that sends requests directly to upstreams.
 type Relay struct {
-	Own         `yaml:",inline"`
-	HTTP        string `yaml:"http"`  // IP and port for callers.
-	Ready       string `yaml:"ready"` // IP and port of the load balancer's readiness check.
-	RelayBounds `yaml:",inline"`
+	DirectCommon    `yaml:",inline"`
+	HTTP            string `yaml:"http"`  // IP and port for callers.
+	Ready           string `yaml:"ready"` // IP and port of the load balancer's readiness check.
+	RelayReloadable `yaml:",inline"`
 }
 
-// RelayBounds holds the settings of a gateway that may change while it runs.
-type RelayBounds struct {
-	// GraceFor is the time from the signal to stop until the process is killed.
-	GraceFor time.Duration `yaml:"grace_for"`
+// RelayReloadable holds the settings of a gateway that may change while it runs.
+type RelayReloadable struct {
+	// GracePeriod is the time from the signal to stop until the process is killed.
+	GracePeriod time.Duration `yaml:"grace_for"`
 	// VersionWithin is the time from the announcement of a version until no request may
 	// start on an older one.
 	VersionWithin time.Duration `yaml:"version_within"`
@@ -49,15 +49,15 @@
 
 // Stager holds the settings of an agent that stages weights for its replica.
 type Stager struct {
-	Own          `yaml:",inline"`
-	StagerBounds `yaml:",inline"`
-	Replica      string `yaml:"replica"` // IP and port of the replica on this box.
-	Service      string `yaml:"service"` // The service that the replica belongs to.
-	Memory       int64  `yaml:"memory"`  // Bytes of weights kept; 64 MiB by default.
+	DirectCommon     `yaml:",inline"`
+	StagerReloadable `yaml:",inline"`
+	Replica          string `yaml:"replica"` // IP and port of the replica on this box.
+	Service          string `yaml:"service"` // The service that the replica belongs to.
+	Memory           int64  `yaml:"memory"`  // Bytes of weights kept; 64 MiB by default.
 }
 
-// StagerBounds holds the settings of an agent that may change while it runs.
-type StagerBounds struct {
+// StagerReloadable holds the settings of an agent that may change while it runs.
+type StagerReloadable struct {
 	// VersionWithin is the time from the announcement of a version until no request may
 	// start on an older one.
 	VersionWithin time.Duration `yaml:"version_within"`
@@ -77,11 +77,11 @@
 		return nil, err
 	}
 	setDefault(&r.ApplyWithin, defaultApplyWithin)
-	checkDirectCommon(d, &r.Own)
+	checkDirectCommon(d, &r.DirectCommon)
 	checkAddr(d, "http", r.HTTP)
 	checkAddr(d, "ready", r.Ready)
 	for key, v := range map[string]time.Duration{
-		"grace_for": r.GraceFor, "version_within": r.VersionWithin, "retry_window": r.RetryWindow,
+		"grace_for": r.GracePeriod, "version_within": r.VersionWithin, "retry_window": r.RetryWindow,
 		"apply_within": r.ApplyWithin,
 	} {
 		checkPositive(d, key, int64(v))
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	setDefault(&s.Memory, defaultStagerMemory)
-	checkDirectCommon(d, &s.Own)
+	checkDirectCommon(d, &s.DirectCommon)
 	checkAddr(d, "replica", s.Replica)
 	checkPositive(d, "memory", s.Memory)
 	checkPositive(d, "version_within", int64(s.VersionWithin))
@@ -119,7 +119,7 @@
 	return s, problemsError(d)
 }
 
-func checkDirectCommon(d *strict.Document, o *Own) {
+func checkDirectCommon(d *strict.Document, o *DirectCommon) {
 	checkIdentity(d, o.Cluster, o.Box, o.Hall)
 	checkAddr(d, "listen", o.Listen)
 	checkAddr(d, "store", o.Store)
@@ -129,19 +129,19 @@
 	checkJoin(d, o.Join)
 }
 
-// Fixed reports whether r and other differ at most in the settings that may change while
+// CanReload reports whether r and other differ at most in the settings that may change while
 // the process runs.
-func (r *Relay) Fixed(other *Relay) bool {
-	return r.Own.equal(&other.Own) && r.HTTP == other.HTTP && r.Ready == other.Ready
+func (r *Relay) CanReload(other *Relay) bool {
+	return r.DirectCommon.equal(&other.DirectCommon) && r.HTTP == other.HTTP && r.Ready == other.Ready
 }
 
-// Fixed reports whether s and other differ at most in the settings that may change while
+// CanReload reports whether s and other differ at most in the settings that may change while
 // the process runs.
-func (s *Stager) Fixed(other *Stager) bool {
-	return s.Own.equal(&other.Own) && s.Replica == other.Replica && s.Service == other.Service && s.Memory == other.Memory
+func (s *Stager) CanReload(other *Stager) bool {
+	return s.DirectCommon.equal(&other.DirectCommon) && s.Replica == other.Replica && s.Service == other.Service && s.Memory == other.Memory
 }
 
-func (o *Own) equal(other *Own) bool {
+func (o *DirectCommon) equal(other *DirectCommon) bool {
 	return o.Cluster == other.Cluster && o.Box == other.Box && o.Hall == other.Hall && o.Listen == other.Listen &&
 		o.Admin == other.Admin && o.Store == other.Store && slices.Equal(o.Join, other.Join)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -22,40 +22,40 @@
 
 // Common holds the settings that Gateway and Agent share.
 type Common struct {
-	Cluster  string        `yaml:"cluster"`   // Peers of other clusters are refused.
-	Box      string        `yaml:"box"`       // The box's name in the fleet list.
-	Hall     string        `yaml:"hall"`      // The hall of the box.
-	Listen   string        `yaml:"listen"`    // IP and port for other processes of the system.
-	Admin    string        `yaml:"admin"`     // IP and port for metrics, health and status.
-	Join     []string      `yaml:"join"`      // Gateways to contact before a fleet list is known.
-	DrainFor time.Duration `yaml:"drain_for"` // How long a planned stop waits for requests; 2m by default.
-	MaxConns int           `yaml:"max_conns"` // Maximum number of connections from peers; 4096 by default.
+	Cluster      string        `yaml:"cluster"`   // Peers of other clusters are refused.
+	Box          string        `yaml:"box"`       // The box's name in the fleet list.
+	Hall         string        `yaml:"hall"`      // The hall of the box.
+	Listen       string        `yaml:"listen"`    // IP and port for other processes of the system.
+	Admin        string        `yaml:"admin"`     // IP and port for metrics, health and status.
+	Join         []string      `yaml:"join"`      // Gateways to contact before a fleet list is known.
+	DrainTimeout time.Duration `yaml:"drain_for"` // How long a planned stop waits for requests; 2m by default.
+	MaxConns     int           `yaml:"max_conns"` // Maximum number of connections from peers; 4096 by default.
 }
 
 // Gateway holds the settings of a gateway.
 type Gateway struct {
-	Common      `yaml:",inline"`
-	HTTP        string        `yaml:"http"`         // IP and port for callers.
-	Platform    string        `yaml:"platform"`     // URL of the platform's service.
-	MaxBody     int           `yaml:"max_body"`     // Maximum size of a caller's request in bytes; 4 MiB by default.
-	MaxAnswer   int           `yaml:"max_answer"`   // Maximum size of a buffered answer in bytes; 8 MiB by default.
-	HeaderWait  time.Duration `yaml:"header_wait"`  // Time-out for a caller's request headers; 5s by default.
-	BodyWait    time.Duration `yaml:"body_wait"`    // Time-out for a caller's whole request; 20s by default.
-	LingerFor   time.Duration `yaml:"linger_for"`   // How long new callers are still served after a stop is announced; 3s by default.
-	MaxAttempts int           `yaml:"max_attempts"` // Maximum attempts for one request; 4 by default.
+	Common        `yaml:",inline"`
+	HTTP          string        `yaml:"http"`         // IP and port for callers.
+	Platform      string        `yaml:"platform"`     // URL of the platform's service.
+	MaxBody       int           `yaml:"max_body"`     // Maximum size of a caller's request in bytes; 4 MiB by default.
+	MaxAnswer     int           `yaml:"max_answer"`   // Maximum size of a buffered answer in bytes; 8 MiB by default.
+	HeaderTimeout time.Duration `yaml:"header_wait"`  // Time-out for a caller's request headers; 5s by default.
+	BodyTimeout   time.Duration `yaml:"body_wait"`    // Time-out for a caller's whole request; 20s by default.
+	LingerPeriod  time.Duration `yaml:"linger_for"`   // How long new callers are still served after a stop is announced; 3s by default.
+	MaxAttempts   int           `yaml:"max_attempts"` // Maximum attempts for one request; 4 by default.
 }
 
 // Agent holds the settings of an agent.
 type Agent struct {
-	Common   `yaml:",inline"`
-	Engine   string `yaml:"engine"`            // URL of the engine or plain service on this box.
-	Source   string `yaml:"source"`            // IP and port from which the engine pulls weights.
-	Origin   string `yaml:"origin"`            // URL of the origin of weights.
-	Memory   int64  `yaml:"memory"`            // Bytes of weights kept in memory; 1 GiB by default.
-	Slots    int    `yaml:"slots"`             // Concurrent requests; 8 by default.
-	Queue    int    `yaml:"queue"`             // Maximum number of queued requests; 16 by default.
-	Strategy string `yaml:"strategy"`          // Strategy of weight distribution; swarm by default, and the same on all boxes.
-	LinkBPS  int64  `yaml:"link_bytes_second"` // Bytes per second of the box's link; 0 is unknown, and transfers are not paced.
+	Common             `yaml:",inline"`
+	Engine             string `yaml:"engine"`            // URL of the engine or plain service on this box.
+	Source             string `yaml:"source"`            // IP and port from which the engine pulls weights.
+	Origin             string `yaml:"origin"`            // URL of the origin of weights.
+	Memory             int64  `yaml:"memory"`            // Bytes of weights kept in memory; 1 GiB by default.
+	Slots              int    `yaml:"slots"`             // Concurrent requests; 8 by default.
+	Queue              int    `yaml:"queue"`             // Maximum number of queued requests; 16 by default.
+	Strategy           string `yaml:"strategy"`          // Strategy of weight distribution; swarm by default, and the same on all boxes.
+	LinkBytesPerSecond int64  `yaml:"link_bytes_second"` // Bytes per second of the box's link; 0 is unknown, and transfers are not paced.
 }
 
 const (
@@ -95,9 +95,9 @@
 	}
 	setDefault(&g.MaxBody, defaultMaxBody)
 	setDefault(&g.MaxAnswer, defaultMaxAnswer)
-	setDefault(&g.HeaderWait, defaultHeaderWait)
-	setDefault(&g.BodyWait, defaultBodyWait)
-	setDefault(&g.LingerFor, defaultLingerFor)
+	setDefault(&g.HeaderTimeout, defaultHeaderWait)
+	setDefault(&g.BodyTimeout, defaultBodyWait)
+	setDefault(&g.LingerPeriod, defaultLingerFor)
 	setDefault(&g.MaxAttempts, defaultMaxAttempts)
 	checkCommon(d, &g.Common)
 	checkAddr(d, "http", g.HTTP)
@@ -154,7 +154,7 @@
 }
 
 func checkCommon(d *strict.Document, c *Common) {
-	setDefault(&c.DrainFor, defaultDrainFor)
+	setDefault(&c.DrainTimeout, defaultDrainFor)
 	setDefault(&c.MaxConns, defaultMaxConns)
 	checkIdentity(d, c.Cluster, c.Box, c.Hall)
 	checkAddr(d, "listen", c.Listen)
--- a/internal/stack/measure_test.go
+++ b/internal/stack/measure_test.go
@@ -82,7 +82,7 @@
 }
 
 func steadyLoad(rate float64, duration time.Duration) func() []*load.Run {
-	return func() []*load.Run { return []*load.Run{{Rate: rate, For: duration}} }
+	return func() []*load.Run { return []*load.Run{{Rate: rate, Duration: duration}} }
 }
 
 // TestMeasure prints the measurements that docs/design/load.md quotes; scripts/measure runs it.
@@ -96,7 +96,7 @@
 		{name: "prefixes_60", prefixes: 60, newLoads: steadyLoad(0.6*capacity, 10*time.Second)},
 		{name: "overload_3x", newLoads: steadyLoad(3*capacity, 10*time.Second)},
 		{name: "burst_10x", newLoads: func() []*load.Run {
-			return []*load.Run{{Rate: 0.3 * capacity, For: 10 * time.Second, BurstAt: 3 * time.Second, BurstFor: 2 * time.Second, BurstFactor: 10}}
+			return []*load.Run{{Rate: 0.3 * capacity, Duration: 10 * time.Second, BurstAt: 3 * time.Second, BurstFor: 2 * time.Second, BurstFactor: 10}}
 		}},
 		{name: "hall_lost", halls: 2, loseHall: true, newLoads: steadyLoad(0.5*capacity, 10*time.Second)},
 	}
@@ -118,7 +118,7 @@
 	s := &Stack{
 		Halls: c.halls, Gateways: 2, Engines: measuredEngines, Slots: slots, Queue: slots, Config: measuredConfig + c.config,
 		NewEngine: func(i int) *standin.Engine {
-			e := &standin.Engine{FirstToken: firstToken, PerToken: perToken, Batch: slots, Prefixes: 12}
+			e := &standin.Engine{FirstToken: firstToken, PerToken: perToken, Batch: slots, PrefixCacheSize: 12}
 			if c.slowEngine && i == 0 {
 				e.FirstToken, e.PerToken = 5*firstToken, 5*perToken
 			}
@@ -152,7 +152,7 @@
 			hits, lookups = hits+h, lookups+a
 		}
 		sum := sums[0]
-		elapsed := max(c.newLoads()[0].For, time.Since(start)).Seconds()
+		elapsed := max(c.newLoads()[0].Duration, time.Since(start)).Seconds()
 		runs := 0
 		for _, l := range s.Ledgers {
 			for _, n := range l.Runs() {
@@ -176,7 +176,7 @@
 	sums := make([]*load.Summary, len(runs))
 	var wg sync.WaitGroup
 	for i, r := range runs {
-		base := s.newLoad(r.Rate, r.For)
+		base := s.newLoad(r.Rate, r.Duration)
 		r.Gateways, r.Ledgers, r.Services, r.Client = base.Gateways, base.Ledgers, base.Services, base.Client
 		r.VaryTokens = true
 		r.Tokens, r.Timeout, r.Mix, r.Prefixes, r.Seed = measuredTokens, 10*time.Second, load.Mix{Stream: 1}, prefixes, uint64(i+1)
@@ -197,10 +197,10 @@
 // large one at 20 times its load: with fair queueing, and with both in one queue as the baseline.
 func measureOrganisations(t *testing.T) {
 	small := func(org string) *load.Run {
-		return &load.Run{Rate: 0.2 * capacity, For: 10 * time.Second, Organisations: []string{org}}
+		return &load.Run{Rate: 0.2 * capacity, Duration: 10 * time.Second, Organisations: []string{org}}
 	}
 	large := func(org string) *load.Run {
-		return &load.Run{Rate: 0.2 * 20 * capacity, For: 10 * time.Second, Organisations: []string{org}}
+		return &load.Run{Rate: 0.2 * 20 * capacity, Duration: 10 * time.Second, Organisations: []string{org}}
 	}
 	declared := "organisations: {small: {}, large: {}}\n"
 	cases := []struct {
--- a/internal/stack/spill_test.go
+++ b/internal/stack/spill_test.go
@@ -25,7 +25,7 @@
 			is.True(len(text) > 0)
 		}
 		r := s.newLoad(50, 5*time.Second)
-		r.Mix = load.Mix{Whole: 1, Stream: 1}
+		r.Mix = load.Mix{Unstreamed: 1, Stream: 1}
 		sum, err := r.Do(t.Context())
 		is.NoErr(err)
 		requireNoViolations(t, sum)
--- a/internal/stack/stack.go
+++ b/internal/stack/stack.go
@@ -126,7 +126,7 @@
 		s.hosts[name+":7200"], s.Ledgers[name] = e, &e.Ledger
 	}
 	for i := range s.PlainBoxes {
-		p := &standin.Plain{Name: "plain", Takes: 2 * time.Millisecond}
+		p := &standin.Plain{Name: "plain", ServiceTime: 2 * time.Millisecond}
 		name := fmt.Sprintf("%s-plain%d", hall, i)
 		s.hosts[name+":7200"], s.Ledgers[name] = p, &p.Ledger
 	}
@@ -161,7 +161,7 @@
 
 func (s *Stack) commonSettings(b fleet.Box) settings.Common {
 	return settings.Common{
-		Cluster: "c", Box: b.Name, Hall: b.Hall, Listen: b.Name, DrainFor: time.Minute, MaxConns: 4096,
+		Cluster: "c", Box: b.Name, Hall: b.Hall, Listen: b.Name, DrainTimeout: time.Minute, MaxConns: 4096,
 		Join: []string{"h0-gateway0"},
 	}
 }
@@ -213,12 +213,12 @@
 	if err != nil {
 		return nil, err
 	}
-	g.Duties(k)
+	g.AddTasks(k)
 	context.AfterFunc(ctx, g.Close)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.processes[b.Name] = p
-	s.hosts[b.Name+":80"] = g.Callers()
+	s.hosts[b.Name+":80"] = g.CallerHandler()
 	return g.Server(), nil
 }
 
@@ -230,13 +230,13 @@
 	if err != nil {
 		return nil, err
 	}
-	a.Duties(k)
+	a.AddTasks(k)
 	context.AfterFunc(ctx, a.Close)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.processes[b.Name] = p
 	s.agents[b.Name] = a
-	s.hosts[b.Name+":7500"] = a.Source()
+	s.hosts[b.Name+":7500"] = a.SourceHandler()
 	return a.Server(), nil
 }
 
--- a/internal/stack/stack_test.go
+++ b/internal/stack/stack_test.go
@@ -51,8 +51,8 @@
 // newLoad returns a load on all gateways that checks the ledgers of all boxes.
 func (s *Stack) newLoad(rate float64, duration time.Duration) *load.Run {
 	r := &load.Run{
-		Services: []string{"chat", "chat:" + adapter}, Plains: []string{"plain"}, Rate: rate, For: duration, Timeout: 5 * time.Second,
-		Tokens: 12, Mix: load.Mix{Whole: 3, Stream: 3, Plain: 1, Unsafe: 2, Keyed: 2}, Seed: 1, Client: s.Client(),
+		Services: []string{"chat", "chat:" + adapter}, PlainServices: []string{"plain"}, Rate: rate, Duration: duration, Timeout: 5 * time.Second,
+		Tokens: 12, Mix: load.Mix{Unstreamed: 3, Stream: 3, Plain: 1, Unsafe: 2, Keyed: 2}, Seed: 1, Client: s.Client(),
 	}
 	for name, b := range s.Boxes {
 		if b.Class == "gateway" {
@@ -178,7 +178,7 @@
 				var wg sync.WaitGroup
 				wg.Go(func() {
 					r := s.newLoad(200, 8*time.Second)
-					r.Mix = load.Mix{Whole: 1, Stream: 1}
+					r.Mix = load.Mix{Unstreamed: 1, Stream: 1}
 					sum, err := r.Do(t.Context())
 					is.NoErr(err)
 					requireNoViolations(t, sum)
@@ -296,7 +296,7 @@
 		}
 	}()
 	r := s.newLoad(80, duration)
-	r.Seed, r.GatewaysDie = seed+10, true
+	r.Seed, r.GatewaysMayCrash = seed+10, true
 	sum, err := r.Do(t.Context())
 	is.NoErr(err)
 	<-finished
--- a/internal/stager/backoff.go
+++ b/internal/stager/backoff.go
@@ -22,7 +22,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now.Before(b.until) {
-		return &fault.Error{Code: fault.UpstreamResting, RetryAt: b.until}
+		return &fault.Error{Code: fault.UpstreamBackingOff, RetryAt: b.until}
 	}
 	return nil
 }
--- a/internal/stager/backoff_test.go
+++ b/internal/stager/backoff_test.go
@@ -48,7 +48,7 @@
 				for range 29 {
 					time.Sleep(100 * time.Millisecond)
 					for _, call := range calls {
-						is.Equal(fault.CodeOf(call(rep)), fault.UpstreamResting)
+						is.Equal(fault.CodeOf(call(rep)), fault.UpstreamBackingOff)
 					}
 				}
 				is.Equal(sent, 1)
--- a/internal/stager/cluster_test.go
+++ b/internal/stager/cluster_test.go
@@ -89,9 +89,9 @@
 	i := len(s.agents)
 	addr := ip(i) + ":7"
 	a, err := New(&settings.Stager{
-		Own:          settings.Own{Cluster: "c", Box: ip(i), Hall: "h", Listen: addr, Join: []string{"10.9.0.1:1"}},
-		StagerBounds: settings.StagerBounds{VersionWithin: 8 * time.Second, Link: 7.3},
-		Replica:      ip(i) + ":80", Service: "llm",
+		DirectCommon:     settings.DirectCommon{Cluster: "c", Box: ip(i), Hall: "h", Listen: addr, Join: []string{"10.9.0.1:1"}},
+		StagerReloadable: settings.StagerReloadable{VersionWithin: 8 * time.Second, Link: 7.3},
+		Replica:          ip(i) + ":80", Service: "llm",
 	}, Options{
 		Replica: r.calls(),
 		Origin: Origin{
--- a/internal/stager/stager.go
+++ b/internal/stager/stager.go
@@ -41,7 +41,7 @@
 	// builds a catalog from them.
 	Platform     *peers.Follower
 	KeepsHistory func(key string) bool // See mirror.Mirror.
-	Outlasts     mirror.HoldPolicy
+	HoldPolicy   mirror.HoldPolicy
 	Catalog      func(rs map[string]mirror.Record, at mirror.Position) *catalog.Catalog
 	Dial         func(ctx context.Context, addr string) (net.Conn, error) // TCP by default.
 }
@@ -65,7 +65,7 @@
 	mirror         mirror.Mirror
 	linkLimiter    *rate.Limiter
 	transferEvents eventCounts
-	bounds         atomic.Pointer[settings.StagerBounds]
+	bounds         atomic.Pointer[settings.StagerReloadable]
 	slowUntil      time.Time // The link counts as slow until then; used by the loader only.
 	// stagedChecked reports whether the weights that were staged before the start have
 	// been read back.
@@ -86,17 +86,17 @@
 	}
 	st := &Stager{Settings: s, Metrics: m, options: o, startedAt: time.Now(), completed: make(chan struct{}, 1)}
 	st.options.Replica = st.backoff.wrap(o.Replica)
-	st.bounds.Store(&s.StagerBounds)
+	st.bounds.Store(&s.StagerReloadable)
 	st.lifetime, st.cancel = context.WithCancel(context.Background())
 	local := wire.Hello{
 		Cluster: s.Cluster, Box: boxOf(s.Listen), Hall: s.Hall, Role: roleAgent, Incarnation: rand.Uint64() | 1,
 	}
 	st.handlers = &wire.Handlers{}
-	st.pool = &wire.Pool{Local: local, Codec: Codec, Options: st.wireOptions(), Dial: link.Dialer{Starts: st.noGatewayYet, Connect: o.Dial}.Dial, Lifetime: st.lifetime, Handlers: st.handlers, RedialDelay: redialAfter}
+	st.pool = &wire.Pool{Local: local, Codec: Codec, Options: st.wireOptions(), Dial: link.Dialer{Starting: st.noGatewayYet, Connect: o.Dial}.Dial, Lifetime: st.lifetime, Handlers: st.handlers, RedialDelay: redialAfter}
 	st.exchange = &weights.Exchange{
 		Self:  weights.Member{Name: local.Box, Hall: s.Hall, Addr: s.Listen},
 		Store: &weights.Store{Limit: s.Memory}, Strategy: weights.Swarm,
-		Pool:        &wire.Pool{Local: local, Codec: Codec, Options: st.wireOptions(), Dial: link.Dialer{Starts: st.justStarted, Connect: o.Dial}.Dial, Lifetime: st.lifetime, Handlers: st.handlers, RedialDelay: redialAfter},
+		Pool:        &wire.Pool{Local: local, Codec: Codec, Options: st.wireOptions(), Dial: link.Dialer{Starting: st.justStarted, Connect: o.Dial}.Dial, Lifetime: st.lifetime, Handlers: st.handlers, RedialDelay: redialAfter},
 		FetchOrigin: st.fetchFromOrigin, Pace: st.pace, PartBytes: sendPart, UploadSlots: uploadSlots, UploadQueue: uploadQueue, Parallel: maxFetches, PreferHall: true, AdaptiveParallel: true, OriginParallel: maxAtOrigin, FlushInterval: flushAfter,
 		Event: st.weightsEvent,
 	}
@@ -105,7 +105,7 @@
 	st.options.Platform.Mirror = &st.mirror
 	st.options.Platform.Needed = st.assignments.isolated
 	st.options.Platform.MaxAssumedAge = peers.MaxAssumedAgeFor(s.VersionWithin)
-	st.mirror.KeepsHistory, st.mirror.HoldPolicy, st.mirror.OnEvent = o.KeepsHistory, o.Outlasts, peers.LogMirrorEvent
+	st.mirror.KeepsHistory, st.mirror.HoldPolicy, st.mirror.OnEvent = o.KeepsHistory, o.HoldPolicy, peers.LogMirrorEvent
 	return st, nil
 }
 
@@ -265,10 +265,10 @@
 // Reload applies new settings. It returns an error, and keeps the old ones, if a setting
 // differs that only a restart can change.
 func (s *Stager) Reload(n *settings.Stager) error {
-	if !s.Settings.Fixed(n) {
+	if !s.Settings.CanReload(n) {
 		return fault.New(fault.BadConfig, "names and addresses change only with a restart")
 	}
-	s.bounds.Store(&n.StagerBounds)
+	s.bounds.Store(&n.StagerReloadable)
 	return nil
 }
 
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,13 +16,13 @@
 // Engine is a stand-in for a model engine. It pulls and verifies weights but keeps only
 // their digest.
 type Engine struct {
-	ChecksOrders bool          // Refuse orders with an older fence.
-	FirstToken   time.Duration // Delay before the first token of an answer.
-	PerToken     time.Duration // Delay between tokens while at most Batch requests run.
-	Batch        int           // Requests that run at full speed.
-	Prefixes     int           // Size of the cache of prompt prefixes; a hit saves 70% of FirstToken.
-	Ledger       Ledger
-	HTTP         *http.Client // Client that pulls weights; nil is the default client.
+	ChecksOrders    bool          // Refuse orders with an older fence.
+	FirstToken      time.Duration // Delay before the first token of an answer.
+	PerToken        time.Duration // Delay between tokens while at most Batch requests run.
+	Batch           int           // Requests that run at full speed.
+	PrefixCacheSize int           // Size of the cache of prompt prefixes; a hit saves 70% of FirstToken.
+	Ledger          Ledger
+	HTTP            *http.Client // Client that pulls weights; nil is the default client.
 
 	mu           sync.Mutex
 	state        engine.State
@@ -218,7 +218,7 @@
 // firstTokenDelay returns the delay before the first token, which is shorter if the
 // prefix of the prompt, its first message, is cached. The caller must hold e.mu.
 func (e *Engine) firstTokenDelay(req *ChatRequest) time.Duration {
-	if e.Prefixes == 0 || len(req.Messages) < 2 {
+	if e.PrefixCacheSize == 0 || len(req.Messages) < 2 {
 		return e.FirstToken
 	}
 	const savedFraction = 0.7
@@ -230,7 +230,7 @@
 		return e.FirstToken - time.Duration(savedFraction*float64(e.FirstToken))
 	}
 	e.cached = append(e.cached, prefix)
-	if len(e.cached) > e.Prefixes {
+	if len(e.cached) > e.PrefixCacheSize {
 		e.cached = e.cached[1:]
 	}
 	return e.FirstToken
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -10,9 +10,9 @@
 // Plain is a stand-in for a plain service. Its answer is a fixed function of
 // the path and body.
 type Plain struct {
-	Name   string
-	Takes  time.Duration
-	Ledger Ledger
+	Name        string
+	ServiceTime time.Duration
+	Ledger      Ledger
 }
 
 // PlainAnswer is the answer of a plain service.
@@ -42,6 +42,6 @@
 	}
 	_ = json.Unmarshal(body, &ref)
 	p.Ledger.Started(ref.User)
-	time.Sleep(p.Takes)
+	time.Sleep(p.ServiceTime)
 	reply(w, PlainAnswer{Service: p.Name, Path: r.URL.Path, Echo: Answer(string(body), p.Name, "", PlainTokens)})
 }
--- a/internal/telemetry/admin.go
+++ b/internal/telemetry/admin.go
@@ -46,7 +46,7 @@
 		srv.ReadHeaderTimeout = 5 * time.Second
 	}
 	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-		return fault.Wrap(fault.Closed, err, "http")
+		return fault.Wrap(fault.ConnectionLost, err, "http")
 	}
 	return nil
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -105,8 +105,8 @@
 	m.events.Add(context.Background(), 1, withAttributes("event", name, "reason", detail))
 }
 
-// Failed counts an error that is neither a refusal nor a retry.
-func (m *Metrics) Failed(name string, err error) { m.Event(name, string(fault.CodeOf(err))) }
+// Failure counts an error that is neither a refusal nor a retry.
+func (m *Metrics) Failure(name string, err error) { m.Event(name, string(fault.CodeOf(err))) }
 
 // Bytes counts transferred bytes. It is called for each frame, so the attributes of each
 // purpose are built only once. Purpose must be one of few values.
@@ -123,8 +123,8 @@
 	m.firstDataSeconds.Record(context.Background(), seconds)
 }
 
-// Whole records the seconds until the end of an answer.
-func (m *Metrics) Whole(seconds float64) { m.answerSeconds.Record(context.Background(), seconds) }
+// FullAnswer records the seconds until the end of an answer.
+func (m *Metrics) FullAnswer(seconds float64) { m.answerSeconds.Record(context.Background(), seconds) }
 
 // Gauge registers a gauge whose value is read when the metrics are collected.
 func (m *Metrics) Gauge(name, description string, read func() float64) error {
--- a/internal/way/box.go
+++ b/internal/way/box.go
@@ -171,7 +171,7 @@
 	o := sim.boxes[i]
 	b.pending[fetch{a.Chunk, i}] = true
 	if !sim.reachable(b, o) {
-		sim.after(detectionDelay, func() { b.fetchEnded(a.Chunk, i, fault.Stalled) })
+		sim.after(detectionDelay, func() { b.fetchEnded(a.Chunk, i, fault.LinkStalled) })
 		return
 	}
 	sim.after(sim.latency(b, o), func() { o.handleRequest(upload{b, a.Chunk}) })
@@ -180,7 +180,7 @@
 // handleRequest queues a request for a chunk, or refuses it if too many are waiting.
 func (b *box) handleRequest(u upload) {
 	if b.lost {
-		b.sim.after(detectionDelay, func() { u.to.fetchEnded(u.chunk, b.index, fault.Stalled) })
+		b.sim.after(detectionDelay, func() { u.to.fetchEnded(u.chunk, b.index, fault.LinkStalled) })
 		return
 	}
 	if len(b.waiting) >= uploadQueue {
@@ -203,7 +203,7 @@
 	sim.after(took, func() {
 		b.uploading = false
 		if b.lost || !sim.reachable(b, u.to) {
-			sim.after(detectionDelay, func() { u.to.fetchEnded(u.chunk, b.index, fault.Stalled) })
+			sim.after(detectionDelay, func() { u.to.fetchEnded(u.chunk, b.index, fault.LinkStalled) })
 		} else {
 			u.to.receive(u.chunk, b.index, took, sim.latency(b, u.to))
 		}
--- a/internal/way/links.go
+++ b/internal/way/links.go
@@ -143,7 +143,7 @@
 			kept = append(kept, f)
 			continue
 		}
-		sim.after(sim.originLatency(f.to), func() { f.to.fetchEnded(f.chunk, -1, fault.Closed) })
+		sim.after(sim.originLatency(f.to), func() { f.to.fetchEnded(f.chunk, -1, fault.ConnectionLost) })
 	}
 	sim.flows = kept
 	sim.scheduleFlowEnd()
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -118,7 +118,7 @@
 	granted := 0
 	for range 1000 {
 		b.RecordRequest(now, 10)
-		if b.Spend(now) {
+		if b.TrySpend(now) {
 			granted++
 		}
 	}
--- a/limit/rate.go
+++ b/limit/rate.go
@@ -107,8 +107,8 @@
 	b.earn(now, float64(percent)/100)
 }
 
-// Spend takes one retry from the budget, and reports whether there was one.
-func (b *RetryBudget) Spend(now time.Time) bool {
+// TrySpend takes one retry from the budget, and reports whether there was one.
+func (b *RetryBudget) TrySpend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.earn(now, 0)
--- a/limit/window.go
+++ b/limit/window.go
@@ -60,9 +60,9 @@
 	w.requests.add(w.step(now), 1)
 }
 
-// Spend counts one retry if the limit allows it, and reports whether it does. The limit is
+// TrySpend counts one retry if the limit allows it, and reports whether it does. The limit is
 // Ratio times the requests in the window, plus slack.
-func (w *RetryWindow) Spend(now time.Time, slack float64) bool {
+func (w *RetryWindow) TrySpend(now time.Time, slack float64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	step := w.step(now)
--- a/limit/window_test.go
+++ b/limit/window_test.go
@@ -20,7 +20,7 @@
 			if rapid.Bool().Draw(t, "request") {
 				w.RecordRequest(now)
 				requests = append(requests, now)
-			} else if w.Spend(now, slack) {
+			} else if w.TrySpend(now, slack) {
 				sends = append(sends, now)
 			}
 		}
--- a/route/declared.go
+++ b/route/declared.go
@@ -185,7 +185,7 @@
 	case !r.leavingSince.IsZero(), t.replicas[r.ID] != r, !t.withinGrace(now, r):
 		return fault.UpstreamLeaving
 	case r.backoffUntil.After(now):
-		return fault.UpstreamResting
+		return fault.UpstreamBackingOff
 	case r.limit.Named && !now.Before(res.permitUntil):
 		return fault.UpstreamLimited
 	}
--- a/route/declared_test.go
+++ b/route/declared_test.go
@@ -115,7 +115,7 @@
 	expectBackoff := func(now, back time.Time) {
 		t.Helper()
 		c, err := tb.Pick(now, crit)
-		is.Equal(fault.CodeOf(err), fault.UpstreamResting)
+		is.Equal(fault.CodeOf(err), fault.UpstreamBackingOff)
 		is.Equal(c.Availability.BackAt, back)
 	}
 	tb.MarkBackoff(fleet.Incarnation{ID: "e0"}, epoch, at(3000))
@@ -193,7 +193,7 @@
 		}, fault.UpstreamLeaving},
 		{"backing off", func(tb *Table, _ map[string]fleet.Upstream) {
 			tb.MarkBackoff(fleet.Incarnation{ID: "e0"}, later, later.Add(time.Second))
-		}, fault.UpstreamResting},
+		}, fault.UpstreamBackingOff},
 		{"backoff over", func(tb *Table, _ map[string]fleet.Upstream) {
 			tb.MarkBackoff(fleet.Incarnation{ID: "e0"}, epoch, later)
 		}, ""},
--- a/route/eligibility.go
+++ b/route/eligibility.go
@@ -57,7 +57,7 @@
 	if a.Count[rateLimited] > 0 {
 		return fault.UpstreamLimited
 	}
-	return fault.UpstreamResting
+	return fault.UpstreamBackingOff
 }
 
 // String lists the non-zero counts as comma-separated "name=count" pairs.
--- a/route/predict.go
+++ b/route/predict.go
@@ -16,7 +16,7 @@
 	}
 	_, running := r.otherLoad(now)
 	decoding := float64(r.decoding) + running
-	step := e.Step + time.Duration(decoding*float64(e.PerSequence))
+	step := e.StepTime + time.Duration(decoding*float64(e.StepTimePerSequence))
 	ends := now.Add(r.predictLatency(now, e, w) + time.Duration(prefillOverhead*float64(w.AnswerTokens)*float64(step)))
 	return max(0, ends.Sub(r.Report.ChangeAt))
 }
@@ -25,7 +25,7 @@
 // request may have, counted from its first event.
 func (r *Replica) maxAnswerTime(now time.Time, e config.Engine, w Workload) time.Duration {
 	_, running := r.otherLoad(now)
-	step := e.Step + time.Duration((float64(r.decoding)+running+1)*float64(e.PerSequence))
+	step := e.StepTime + time.Duration((float64(r.decoding)+running+1)*float64(e.StepTimePerSequence))
 	d := time.Duration(float64(max(w.AnswerTokens, w.MaxAnswerTokens)) * float64(step))
 	if r.hasReport(now) && r.Report.Slowdown > 1 {
 		d = time.Duration(float64(d) * r.Report.Slowdown)
@@ -57,7 +57,7 @@
 // predictLatency estimates the time to the first event of a request.
 func (r *Replica) predictLatency(now time.Time, e config.Engine, w Workload) time.Duration {
 	queued, running := r.otherLoad(now)
-	if e.ReadRate <= 0 {
+	if e.PrefillRate <= 0 {
 		slots := float64(max(1, r.Slots))
 		inFlight := float64(r.prefilling+r.decoding) + queued + running
 		perRequest := max(defaultLatency, r.typicalLatency)
@@ -67,19 +67,19 @@
 		return perRequest + time.Duration((inFlight-slots+1)/slots*float64(perRequest))
 	}
 	slots := float64(max(1, e.Slots))
-	tokens := float64(r.prefillTokens) + queued*float64(e.UsualPrompt) + float64(w.PromptTokens)
+	tokens := float64(r.prefillTokens) + queued*float64(e.MeanPromptTokens) + float64(w.PromptTokens)
 	batch := float64(r.prefilling+r.decoding) + queued + running
 	decoding := min(slots, float64(r.decoding)+running)
-	step := e.Step + time.Duration(decoding*float64(e.PerSequence))
-	read := time.Duration(tokens / e.ReadRate * float64(time.Second))
-	passes := math.Ceil(tokens / float64(max(1, e.Chunk)))
+	step := e.StepTime + time.Duration(decoding*float64(e.StepTimePerSequence))
+	read := time.Duration(tokens / e.PrefillRate * float64(time.Second))
+	passes := math.Ceil(tokens / float64(max(1, e.PrefillChunk)))
 	stride := 1.0
 	if decoding > 0 {
-		stride = float64(max(1, e.Stride))
+		stride = float64(max(1, e.StepsPerPrefill))
 	}
 	ttft := read + time.Duration((passes+0.5)*stride*float64(step))
 	if batch >= slots {
-		perRequest := time.Duration(float64(e.UsualAnswer) * float64(step) * 1.6)
+		perRequest := time.Duration(float64(e.MeanAnswerTokens) * float64(step) * 1.6)
 		ttft += time.Duration((batch - slots + 1) / slots * float64(perRequest))
 	}
 	if r.hasReport(now) && r.Report.Slowdown > 1 {
--- a/route/router.go
+++ b/route/router.go
@@ -273,8 +273,8 @@
 	}
 }
 
-// Size returns the number of upstreams in the table.
-func (r *Router) Size() int {
+// Len returns the number of upstreams in the table.
+func (r *Router) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.upstreams)
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -14,7 +14,7 @@
 )
 
 var llm = config.Engine{
-	Slots: 16, Step: 9 * time.Millisecond, ReadRate: 20000, Chunk: 2048, Stride: 5, UsualPrompt: 1000, UsualAnswer: 90,
+	Slots: 16, StepTime: 9 * time.Millisecond, PrefillRate: 20000, PrefillChunk: 2048, StepsPerPrefill: 5, MeanPromptTokens: 1000, MeanAnswerTokens: 90,
 }
 
 // newTable returns a table of n engines that hold version 1.
--- a/weights/exchange.go
+++ b/weights/exchange.go
@@ -302,7 +302,7 @@
 		cancel()
 		if err != nil {
 			if fault.Is(err, fault.Timeout) && ctx.Err() == nil {
-				err = fault.New(fault.Stalled, "chunk: timed out waiting for the next part")
+				err = fault.New(fault.LinkStalled, "chunk: timed out waiting for the next part")
 			}
 			return nil, 0, err
 		}
--- a/weights/origin.go
+++ b/weights/origin.go
@@ -44,7 +44,7 @@
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, MaxChunk+1))
 	if err != nil {
-		return nil, fault.Wrap(fault.Closed, err, "origin")
+		return nil, fault.Wrap(fault.ConnectionLost, err, "origin")
 	}
 	return data, nil
 }
--- a/weights/transfer.go
+++ b/weights/transfer.go
@@ -265,7 +265,7 @@
 		return EventOrigin, data, err
 	}
 	if s == nil {
-		return EventPeerInHall, nil, fault.New(fault.Closed, a.From)
+		return EventPeerInHall, nil, fault.New(fault.ConnectionLost, a.From)
 	}
 	kind := EventPeerAcross
 	if s.peer.Hall == t.Exchange.Self.Hall {
@@ -334,7 +334,7 @@
 		x.event(kind, size)
 	case fault.Corrupt:
 		x.event(EventCorrupt, size)
-	case fault.Stalled:
+	case fault.LinkStalled:
 		x.event(EventStall, 0)
 	case fault.Busy, fault.Throttled:
 		x.event(EventRefused, 0)
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -142,7 +142,7 @@
 
 func (c *Conn) handshake(r *bufio.Reader, local Hello) error {
 	if err := c.nc.SetDeadline(time.Now().Add(c.opts.HandshakeTimeout)); err != nil {
-		return fault.Wrap(fault.Closed, err, "set deadline")
+		return fault.Wrap(fault.ConnectionLost, err, "set deadline")
 	}
 	local.Magic, local.Protocol = magic, Protocol
 	sent := make(chan error, 1)
@@ -167,7 +167,7 @@
 		return err
 	}
 	if _, err := c.nc.Write(appendFrame(nil, frame{kind: kindHello, body: b})); err != nil {
-		return fault.Wrap(fault.Closed, err, "send hello")
+		return fault.Wrap(fault.ConnectionLost, err, "send hello")
 	}
 	return nil
 }
@@ -192,12 +192,12 @@
 func (c *Conn) Done() <-chan struct{} { return c.ctx.Done() }
 
 // Close ends the connection and every stream on it.
-func (c *Conn) Close() { c.cancel(fault.New(fault.Closed, "connection closed locally")) }
+func (c *Conn) Close() { c.cancel(fault.New(fault.ConnectionLost, "connection closed locally")) }
 
 func (c *Conn) cause() error {
 	err := context.Cause(c.ctx)
 	if fault.CodeOf(err) == fault.Internal {
-		return fault.Wrap(fault.Closed, err, "")
+		return fault.Wrap(fault.ConnectionLost, err, "")
 	}
 	return err
 }
@@ -227,9 +227,9 @@
 
 func readError(err error) error {
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		return fault.Wrap(fault.Stalled, err, "read")
+		return fault.Wrap(fault.LinkStalled, err, "read")
 	}
-	return fault.Wrap(fault.Closed, err, "read")
+	return fault.Wrap(fault.ConnectionLost, err, "read")
 }
 
 func (c *Conn) readLoop(r *bufio.Reader) {
--- a/wire/conn_test.go
+++ b/wire/conn_test.go
@@ -62,9 +62,9 @@
 	}{
 		{name: "garbage", bytes: []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"), want: fault.TooLarge},
 		{name: "short garbage", bytes: make([]byte, headerSize), want: fault.Garbage},
-		{name: "other cluster", peer: Hello{Magic: magic, Protocol: Protocol, Cluster: "other"}, want: fault.OtherFleet},
+		{name: "other cluster", peer: Hello{Magic: magic, Protocol: Protocol, Cluster: "other"}, want: fault.OtherCluster},
 		{name: "old protocol", peer: Hello{Magic: magic, Protocol: Protocol - 1, Cluster: "c"}, want: fault.OldProtocol},
-		{name: "silence", want: fault.Stalled},
+		{name: "silence", want: fault.LinkStalled},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 		for err = nil; err == nil; {
 			_, err = slow.Recv(t.Context())
 		}
-		is.Equal(fault.CodeOf(err), fault.Overflow)
+		is.Equal(fault.CodeOf(err), fault.StreamOverflow)
 	})
 }
 
@@ -126,7 +126,7 @@
 		is.NoErr(err)
 		began := time.Now()
 		<-c.Done()
-		is.Equal(fault.CodeOf(c.cause()), fault.Stalled)
+		is.Equal(fault.CodeOf(c.cause()), fault.LinkStalled)
 		is.Equal(time.Since(began), 15*time.Second)
 	})
 }
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -29,7 +29,7 @@
 	case h.Protocol < Protocol:
 		return fault.New(fault.OldProtocol, fmt.Sprintf("peer speaks protocol %d, need %d", h.Protocol, Protocol))
 	case h.Cluster != local.Cluster:
-		return fault.New(fault.OtherFleet, h.Cluster)
+		return fault.New(fault.OtherCluster, h.Cluster)
 	}
 	return nil
 }
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -198,7 +198,7 @@
 			if ctx.Err() != nil {
 				return nil
 			}
-			return fault.Wrap(fault.Closed, err, "accept")
+			return fault.Wrap(fault.ConnectionLost, err, "accept")
 		}
 		select {
 		case slots <- struct{}{}:
--- a/wire/stream.go
+++ b/wire/stream.go
@@ -75,7 +75,7 @@
 	defer s.Close()
 	r, err := s.Recv(ctx)
 	if err == io.EOF {
-		return nil, fault.New(fault.Closed, "stream ended without a reply")
+		return nil, fault.New(fault.ConnectionLost, "stream ended without a reply")
 	}
 	return r, err
 }
@@ -105,8 +105,8 @@
 	select {
 	case s.in <- f:
 	default:
-		c.opts.OnFault(fault.Overflow)
-		s.cancel(fault.New(fault.Overflow, "stream buffer full: reader too slow"))
+		c.opts.OnFault(fault.StreamOverflow)
+		s.cancel(fault.New(fault.StreamOverflow, "stream buffer full: reader too slow"))
 	}
 	return nil
 }
@@ -277,7 +277,7 @@
 		default:
 		}
 	}
-	s.cancel(fault.New(fault.Closed, "stream closed"))
+	s.cancel(fault.New(fault.ConnectionLost, "stream closed"))
 }
 
 // Finished reports whether the peer's last message has been received.
