--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,4 +1,4 @@
-// Package catalog combines the published state that a process knows: the
+// Package catalog combines the published state that a process has received: the
 // configuration, the upstreams and the target version of each model.
 //
 // A Catalog is an immutable snapshot. A Holder keeps the newest one and notifies its
@@ -19,7 +19,7 @@
 // TargetChange is one change of a model's target version.
 type TargetChange struct {
 	Version uint64
-	SetAt   time.Time // The earliest time at which it may have been set, as far as this process knows.
+	SetAt   time.Time // The earliest time at which it may have been set, as far as is known to this process.
 }
 
 // Target is the target version of a model's weights.
@@ -33,7 +33,7 @@
 
 // With returns t with one more change. Of too many changes, the oldest two are merged into one with
 // the time of the first, so that the versions that either superseded get no additional time. Dropping
-// the oldest of eight changes instead let 333 requests start on a version past its time limit, when 12
+// the oldest of eight changes instead let 333 requests start on a version past its deadline, when 12
 // target versions were set 0.7 s apart.
 func (t Target) With(c TargetChange) Target {
 	changes := append(slices.Clone(t.Changes), c)
--- a/catalog/target_test.go
+++ b/catalog/target_test.go
@@ -8,7 +8,7 @@
 )
 
 // Target versions may be set in quick succession, each before the previous one is loaded anywhere.
-// The time limit of a replica's version starts at the first newer version and must not restart with
+// The deadline of a replica's version counts from the first newer version and must not move with
 // later ones. When a Target kept too few changes, 22 versions set half a second apart let 4,121
 // requests start on version 1 more than 8 s after version 2 was acknowledged, the first of them
 // 8,027 ms after it. With up to eight versions no request did.
--- a/cmd/poststand/cmd/status.go
+++ b/cmd/poststand/cmd/status.go
@@ -82,7 +82,7 @@
 	err  error
 }
 
-// fetchAll requests the statuses of many daemons concurrently and returns the results in
+// fetchAll requests the statuses of many processes concurrently and returns the results in
 // the order of addrs.
 func fetchAll(ctx context.Context, addrs []string) []statusResult {
 	const concurrency = 64
--- a/config/config.go
+++ b/config/config.go
@@ -72,7 +72,7 @@
 	Rate        float64  `yaml:"rate"`      // Requests per second over all gateways; 0 is no limit.
 	InFlight    int      `yaml:"in_flight"` // Concurrent requests over all gateways; 0 is no limit.
 	APIKeys     []string `yaml:"-"`         // API keys that identify the organisation's requests.
-	Priority    int      `yaml:"-"`         // Priority; 0 is the most urgent. Overrides the route's if Ranked.
+	Priority    int      `yaml:"-"`         // Priority; 0 is the most urgent. Overrides the route's if HasPriority is set.
 	HasPriority bool     `yaml:"-"`
 }
 
--- a/config/route.go
+++ b/config/route.go
@@ -74,7 +74,7 @@
 	route Route
 }
 
-// NewRouting builds the look-up tables of a configuration.
+// NewRouting builds the lookup tables of a configuration.
 func NewRouting(cfg *Config) *Routing {
 	t := &Routing{byHost: map[string][]namedRoute{}, owners: map[string]string{}, KeyRequired: len(cfg.Organisations) > 0}
 	for name, r := range cfg.Routes {
--- a/internal/agent/loader.go
+++ b/internal/agent/loader.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Intervals and time-outs of the loader.
+// Intervals and timeouts of the loader.
 const (
 	loaderInterval      = 250 * time.Millisecond // Between steps while the target is not reached.
 	engineCheckInterval = 2 * time.Second        // Between checks of the engine's state.
--- a/internal/direct/announcements_test.go
+++ b/internal/direct/announcements_test.go
@@ -123,7 +123,7 @@
 	return c.beginDisturbanceOf(c.processOutages, process)
 }
 
-// Replicas leave and shed load while faults of all kinds occur. Gateways and agents must heed
+// Replicas leave and shed load while faults of all kinds occur. Gateways and agents must obey
 // what the replicas announce in their answers.
 func TestWordsAmongFaults(t *testing.T) {
 	t.Parallel()
--- a/internal/direct/faults_test.go
+++ b/internal/direct/faults_test.go
@@ -32,7 +32,7 @@
 }
 
 // drawFaults draws some faults at any time before the given one, and for most target changes up
-// to four more that may overlap, from 2 s before the change until the end of its bound.
+// to four more that may overlap, from 2 s before the change until the deadline of the older version.
 func drawFaults(r *rand.Rand, targetChanges []time.Duration, before time.Duration) []fault {
 	const first = 3 * time.Second
 	var out []fault
--- a/internal/direct/late_test.go
+++ b/internal/direct/late_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Replicas slow down after requests were sent to them, shortly before the bound of their version,
+// Replicas slow down after requests were sent to them, shortly before the deadline of their version,
 // and ignore that connections close. They begin some of these requests late: where the answer is
-// not predicted to be complete by the bound, the request has only its caller's deadline, and
+// not predicted to be complete by that deadline, the request has only its caller's deadline, and
 // nothing else makes the replica drop it.
 func TestSlowReplicaNearTheEndOfItsVersion(t *testing.T) {
 	t.Parallel()
--- a/internal/direct/process_test.go
+++ b/internal/direct/process_test.go
@@ -136,8 +136,8 @@
 	b.engine = e
 	b.mu.Unlock()
 	// In a real deployment requests arrive over the box's link, but the agent is on the same
-	// machine: its messages are small, and its pieces do not pass that link. The replica's links
-	// are therefore unlimited.
+	// machine: its messages are small, and the pieces that it stages do not cross that link. The
+	// replica's links are therefore unlimited.
 	w.net.Add(&simnet.End{Name: b.replica(), Up: &simnet.Link{}, Down: &simnet.Link{}, Serve: platformtest.Serve(e)})
 	w.store.Put("servers/"+e.ID, e.Record())
 	go func() {
--- a/internal/direct/reconnect_test.go
+++ b/internal/direct/reconnect_test.go
@@ -59,7 +59,7 @@
 
 // A gateway that starts later than Follower.MaxAssumedAge after a target change may use the older
 // version for a while. The time that it assumes for the change must not reach the others, which
-// pull all records from it whenever they lack any.
+// pull all records from it whenever they miss any.
 func TestStartAfterMaxAssumedAge(t *testing.T) {
 	for _, delay := range []time.Duration{6300 * time.Millisecond, 7 * time.Second, 8500 * time.Millisecond} {
 		t.Run(delay.String(), func(t *testing.T) {
--- a/internal/direct/target_test.go
+++ b/internal/direct/target_test.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// A gateway that starts after two target changes counts the bound of the version before both
+// A gateway that starts after two target changes counts the deadline of the version before both
 // from the first of the two.
 func TestStartAfterTwoTargetChanges(t *testing.T) {
 	t.Run("alone", func(t *testing.T) {
@@ -51,7 +51,7 @@
 	t.Run("drawn", func(t *testing.T) { simulate(t, 146, time.Minute, 37*time.Second, true) })
 }
 
-// A gateway that was isolated during a target change, and reads it later, counts the bound from
+// A gateway that was isolated during a target change, and reads it later, counts the deadline from
 // the earliest time at which the change may have been made.
 func TestTargetChangeReadLate(t *testing.T) {
 	for outage := 1600 * time.Millisecond; outage <= 4*time.Second; outage += 600 * time.Millisecond {
--- a/internal/direct/undisturbed_test.go
+++ b/internal/direct/undisturbed_test.go
@@ -50,7 +50,7 @@
 }
 
 // Without disturbances, a gateway that receives a target change soon learns when it was made: its
-// requests may begin on the version before until shortly before the bound. How often other
+// requests may begin on the version before until shortly before its deadline. How often other
 // records change in the store makes no difference.
 func TestUsualNamingTakesNoTime(t *testing.T) {
 	const minUse = 5500 * time.Millisecond // Of 7.2 s; checks are 0.33 s apart, and a gateway gets some five requests a second.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -157,8 +157,8 @@
 func (g *Gateway) Close() { g.cancel() }
 
 // serveCallers serves callers until stop ends, and then drains: it reports the
-// gateway as not ready, continues to serve for LingerFor so that load balancers
-// can notice, then stops listening and waits for the requests in progress.
+// gateway as not ready, continues to serve for LingerPeriod so that load
+// balancers can notice, then stops listening and waits for the requests in progress.
 func (g *Gateway) serveCallers(stop, taskCtx context.Context, srv *http.Server, ln net.Listener) error {
 	served := make(chan error, 1)
 	go func() { served <- telemetry.ServeHTTP(taskCtx, ln, srv) }()
--- a/internal/settings/direct.go
+++ b/internal/settings/direct.go
@@ -30,7 +30,7 @@
 type RelayReloadable struct {
 	// GracePeriod is the time from the signal to stop until the process is killed.
 	GracePeriod time.Duration `yaml:"grace_for"`
-	// VersionWithin is the time from the announcement of a version until no request may
+	// VersionWithin is the time from when a target version is set until no request may
 	// start on an older one.
 	VersionWithin time.Duration `yaml:"version_within"`
 	// ApplyWithin is the time from when the platform stores a configuration until it is in
@@ -58,7 +58,7 @@
 
 // StagerReloadable holds the settings of an agent that may change while it runs.
 type StagerReloadable struct {
-	// VersionWithin is the time from the announcement of a version until no request may
+	// VersionWithin is the time from when a target version is set until no request may
 	// start on an older one.
 	VersionWithin time.Duration `yaml:"version_within"`
 	Link          float64       `yaml:"link"` // Megabits per second of the box's link, which the replica shares.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,8 +39,8 @@
 	Platform      string        `yaml:"platform"`     // URL of the platform's service.
 	MaxBody       int           `yaml:"max_body"`     // Maximum size of a caller's request in bytes; 4 MiB by default.
 	MaxAnswer     int           `yaml:"max_answer"`   // Maximum size of a buffered answer in bytes; 8 MiB by default.
-	HeaderTimeout time.Duration `yaml:"header_wait"`  // Time-out for a caller's request headers; 5s by default.
-	BodyTimeout   time.Duration `yaml:"body_wait"`    // Time-out for a caller's whole request; 20s by default.
+	HeaderTimeout time.Duration `yaml:"header_wait"`  // Timeout for a caller's request headers; 5s by default.
+	BodyTimeout   time.Duration `yaml:"body_wait"`    // Timeout for a caller's whole request; 20s by default.
 	LingerPeriod  time.Duration `yaml:"linger_for"`   // How long new callers are still served after a stop is announced; 3s by default.
 	MaxAttempts   int           `yaml:"max_attempts"` // Maximum attempts for one request; 4 by default.
 }
--- a/internal/stack/doctored_test.go
+++ b/internal/stack/doctored_test.go
@@ -156,7 +156,7 @@
 }
 
 // An engine that does not check the sender of orders loads another version on the order of
-// somebody else. No answer of that version may reach a caller, and the agent loads its own
+// another sender. No answer of that version may reach a caller, and the agent loads its own
 // version again.
 func TestForeignOrderIsNoticed(t *testing.T) {
 	runInBubble(t, &Stack{Gateways: 1, Engines: 1, Config: shortLimits}, func(t *testing.T, s *Stack) {
--- a/internal/stager/inflight_test.go
+++ b/internal/stager/inflight_test.go
@@ -50,7 +50,7 @@
 // The test guards against requests that start on an expired version. A link slowed down to
 // 0.3 Mbit/s about a second before gateways stopped sending requests for the older version,
 // while the newer one was being transferred. Gateways learn of a slow link 0.5 to 1.2 s
-// late. A request sent before that queued behind 60 to 100 KB of pieces for 1.7 to 2.7 s;
+// late. A request sent before that queued behind 60 to 100 KB of chunks for 1.7 to 2.7 s;
 // its cancellation queued behind it, so it started up to 9.4 s after the newer version was
 // published instead of at most 8 s.
 func TestLittleIsOnItsWayNearAVersionsEnd(t *testing.T) {
@@ -96,7 +96,7 @@
 // down returns the incoming link of a box.
 func (s *testCluster) down(i int) *simnet.Link { return s.endpoints[i].Down }
 
-// missing returns how many pieces of an artifact are not on a box: all of them if it has not
+// missing returns how many chunks of an artifact are not on a box: all of them if it has not
 // started to fetch any.
 func (s *testCluster) missing(i int, artifact string) int {
 	if t := s.agents[i].exchange.Transfer(artifact); t != nil {
--- a/internal/stager/load.go
+++ b/internal/stager/load.go
@@ -215,7 +215,7 @@
 	return false
 }
 
-// updateProgress sets in the status how many pieces of the newest version are missing, and
+// updateProgress sets in the status how many chunks of the newest version are missing, and
 // whether the box's link is slow, judged by all transfers in progress.
 func (s *Stager) updateProgress(vs *versions, now time.Time) {
 	for _, r := range vs.all() {
@@ -229,7 +229,7 @@
 	s.status.set(func(st *peers.Status) { st.MissingChunks, st.SlowLink = missing, slow })
 }
 
-// limitInFlight limits the pieces in flight to the box shortly before the version that its
+// limitInFlight limits the chunks in flight to the box shortly before the version that its
 // replica serves expires. For a moment after a start or an order the replica's version is
 // not known; the one before the newest is assumed then.
 func (s *Stager) limitInFlight(vs *versions, target catalog.Target, now time.Time) {
--- a/internal/stager/roll.go
+++ b/internal/stager/roll.go
@@ -19,7 +19,7 @@
 	firstCopyFactor = 1.4                    // Time until the first box has a complete copy, in times that a box's link needs for one.
 )
 
-// nearExpiry is how long before a version expires the pieces in flight to boxes whose
+// nearExpiry is how long before a version expires the chunks in flight to boxes whose
 // replicas hold it are limited: if such a box's link slows down, requests queue behind them.
 const nearExpiry = 3700 * time.Millisecond
 
--- a/internal/stager/roll_test.go
+++ b/internal/stager/roll_test.go
@@ -26,14 +26,14 @@
 		want     time.Duration // After the first publication.
 	}{
 		{"the first replica changes when the weights arrive", once, 1, 3 * time.Second, 0, 3 * time.Second},
-		{"halfway between the arrival of the weights and the bound", once, 1, 3 * time.Second, 0.5, 5 * time.Second},
-		{"the last replica changes at the bound", once, 1, 3 * time.Second, 1, 7 * time.Second},
-		{"the bound of the version it holds, not of the newest", twice, 1, 5 * time.Second, 1, 7 * time.Second},
+		{"halfway between the arrival of the weights and the deadline", once, 1, 3 * time.Second, 0.5, 5 * time.Second},
+		{"the last replica changes at the deadline", once, 1, 3 * time.Second, 1, 7 * time.Second},
+		{"the deadline of the version it holds, not of the newest", twice, 1, 5 * time.Second, 1, 7 * time.Second},
 		{"the newest weights arrive later", twice, 1, 5 * time.Second, 0, 5 * time.Second},
 		{"a replica with the version between has more time", twice, 2, 5 * time.Second, 1, 9 * time.Second},
 		{"the version between is loaded first", twice, 1, 3 * time.Second, 0, 3 * time.Second},
 		{"late weights leave less time to all replicas", once, 1, 6 * time.Second, 0.5, 6500 * time.Millisecond},
-		{"weights that arrive after the bound", once, 1, 8 * time.Second, 0.5, 8 * time.Second},
+		{"weights that arrive after the deadline", once, 1, 8 * time.Second, 0.5, 8 * time.Second},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/stager/stager_test.go
+++ b/internal/stager/stager_test.go
@@ -31,7 +31,7 @@
 		s.assign(2, 1)
 		time.Sleep(3 * time.Second)
 		is.Equal(s.versionCounts(), map[uint64]int{1: 5})
-		is.Equal(s.piecesSent, 0) // No piece that other boxes have.
+		is.Equal(s.piecesSent, 0) // The other boxes have all pieces.
 
 		s.corruptManifest = s.manifests + 1
 		s.assign(3, 2, peers.Step{Version: 2})
--- a/internal/stager/versions.go
+++ b/internal/stager/versions.go
@@ -41,7 +41,7 @@
 	stalledAfter = time.Second
 )
 
-// candidate is a version that the replica may load, with what the box knows of it.
+// candidate is a version that the replica may load, with its progress and time limits.
 type candidate struct {
 	version       uint64
 	complete      bool          // All chunks are on the box.
--- a/internal/way/box.go
+++ b/internal/way/box.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// step starts the fetches that the planner returns.
+// step starts the fetches that the plan returns.
 func (b *box) step() {
 	if b.lost || b.plan == nil {
 		return
@@ -108,7 +108,7 @@
 	}
 }
 
-// spreadGossip queues new gossip of the planner for all neighbours except one, and cancels
+// spreadGossip queues new gossip of the plan for all neighbours except one, and cancels
 // fetches left to other boxes.
 func (b *box) spreadGossip(except int) {
 	for _, c := range b.plan.TakeYielded() {
@@ -225,7 +225,7 @@
 	})
 }
 
-// fetchEnded reports the end of a fetch to the planner and announces a new chunk.
+// fetchEnded reports the end of a fetch to the plan and announces a new chunk.
 func (b *box) fetchEnded(chunk, from int, code fault.Code) {
 	sim := b.sim
 	if b.lost || !b.pending[fetch{chunk, from}] {
--- a/internal/way/doc.go
+++ b/internal/way/doc.go
@@ -1,5 +1,5 @@
 // Package way simulates the distribution of a version to its boxes. Each box runs the real
-// planner of package weights over a described network, with scheduled faults. Time is virtual
+// weights.Plan over a described network, with scheduled faults. Time is virtual
 // and a run takes milliseconds, so that hundreds of random scenarios can be compared with the
 // lower bound given by the links.
 //
--- a/internal/way/way_test.go
+++ b/internal/way/way_test.go
@@ -21,12 +21,12 @@
 	}{
 		{"the origin's link", base, time.Second},
 		{"a box's link", with(func(p *Scenario) { p.BoxRate = 500 }), 2 * time.Second},
-		{"a squeezed box", with(func(p *Scenario) { p.LinkFactor = map[int]float64{1: 0.25} }), 2 * time.Second},
-		{"a squeezed box that is lost", with(func(p *Scenario) {
+		{"a box with a slow link", with(func(p *Scenario) { p.LinkFactor = map[int]float64{1: 0.25} }), 2 * time.Second},
+		{"a box with a slow link that fails", with(func(p *Scenario) {
 			p.LinkFactor, p.Lost = map[int]float64{1: 0.25}, []BoxEvent{{1, time.Second}}
 		}), time.Second},
 		{"a late box", with(func(p *Scenario) { p.LateJoins = []BoxEvent{{1, 3 * time.Second}} }), 3500 * time.Millisecond},
-		{"the origin away in the middle", with(func(p *Scenario) {
+		{"the origin unreachable in the middle", with(func(p *Scenario) {
 			p.OriginOutages = []Span{{400 * time.Millisecond, 900 * time.Millisecond}}
 		}), 1500 * time.Millisecond},
 		{"and after the end", with(func(p *Scenario) { p.OriginOutages = []Span{{2 * time.Second, 3 * time.Second}} }), time.Second},
--- a/weights/plan.go
+++ b/weights/plan.go
@@ -11,7 +11,7 @@
 	"github.com/poststand/poststand/rendezvous"
 )
 
-// Origin is the source name that stands for the origin in actions and fetches.
+// Origin is the name of the origin as the source of actions and fetches.
 const Origin = ""
 
 // defaultParallel and the defaults of an Exchange are based on the measurements in
@@ -101,7 +101,7 @@
 	excludedUntil   time.Time // Some peer is excluded until then.
 	fullUntil       time.Time // The store was full; nothing is fetched until then.
 	tieBreak        []int
-	currentParallel float64 // Current limit of open fetches, reduced while the link is slow. Zero stands for the default.
+	currentParallel float64 // Current limit of open fetches, reduced while the link is slow. Zero means the default.
 	inHall          map[string]bool
 	hallPosition    []int       // Number of HallMembers ranked before this box to fetch a chunk from another hall, by chunk.
 	crossHallSince  []time.Time // When a chunk was first seen to be available in another hall only; zero if it was not.
--- a/weights/weights_test.go
+++ b/weights/weights_test.go
@@ -100,9 +100,9 @@
 	b.run(t, 3*testWindow)
 }
 
-// All boxes have a manifest soon after the first boxes in its ranking, which ask the origin
-// for it, are told of the version, even if those are told last and the others wait for one
-// another.
+// All boxes have a manifest soon after the version is assigned to the first boxes in its
+// ranking, which ask the origin for it, even if it is assigned to those last and the others
+// wait for one another.
 func TestManifestComesDownFromTheFirst(t *testing.T) {
 	const late = 120 * time.Millisecond
 	for _, boxes := range []int{10, 20, 40} {
@@ -141,8 +141,8 @@
 		copies float64
 		hook   func(s *sim)
 	}{
-		{"a box dies while it serves", 24, 1.2, func(s *sim) { time.Sleep(half); s.kill(s.name(3)) }},
-		{"the seeds of the first chunks die", 24, 1.5, func(s *sim) {
+		{"a box fails while it serves", 24, 1.2, func(s *sim) { time.Sleep(half); s.kill(s.name(3)) }},
+		{"the boxes that seed the first chunks fail", 24, 1.5, func(s *sim) {
 			for i := range 4 {
 				time.Sleep(time.Second)
 				s.kill(s.name(i))
@@ -170,7 +170,7 @@
 		}},
 		{"a hall is cut from the origin", 24, 1.2, func(s *sim) { s.setOrigin(func() { s.originCut["hall-0"] = true }) }},
 		{"a hall is cut from the others", 24, 2.4, func(s *sim) { s.cutHall("hall-0", true) }},
-		{"a hall is cut from all and healed", 24, 1.6, func(s *sim) {
+		{"a hall is cut from all and reconnected", 24, 1.6, func(s *sim) {
 			s.setOrigin(func() { s.originCut["hall-0"] = true })
 			s.cutHall("hall-0", true)
 			time.Sleep(testWindow)
@@ -183,7 +183,7 @@
 				s.join(s.name(100 + i))
 			}
 		}},
-		{"a box is paused past its sessions and woken", 24, 1.3, func(s *sim) {
+		{"a box is paused past its sessions and resumed", 24, 1.3, func(s *sim) {
 			time.Sleep(4 * time.Second)
 			s.pause(s.name(2), true)
 			time.Sleep(testWindow)
