--- a/internal/peers/capabilities.go
+++ b/internal/peers/capabilities.go
@@ -64,7 +64,7 @@
 	if s, ok := m.(*Capabilities); ok {
 		return *s, nil
 	}
-	return Capabilities{}, fault.New(fault.Garbage, "introduction")
+	return Capabilities{}, fault.New(fault.Garbage, "invalid answer to a capabilities request")
 }
 
 // PositionFor returns a position in the form that the peer of a connection supports.
--- a/internal/peers/collect.go
+++ b/internal/peers/collect.go
@@ -8,8 +8,8 @@
 // to those of its hall and some others. With many, that would be a full mesh of agents and
 // gateways, so an agent reports to two gateways of its hall only, its collectors, which
 // forward the status to the others. A forwarded status is older and predicts the load less
-// well, so the mesh is used as long as its cost can be borne. Each agent and each gateway
-// computes the targets by itself.
+// well, so the mesh is used as long as its cost is acceptable. The gateway that an
+// agent subscribes to computes the agent's targets, without coordination with other gateways.
 const (
 	meshLimit          = 12  // Up to this many gateways, an agent reports to all of them.
 	hallMeshLimit      = 48  // Up to this many gateways, an agent reports to those of its hall and remoteTargets others.
--- a/internal/peers/follow.go
+++ b/internal/peers/follow.go
@@ -13,8 +13,8 @@
 	"github.com/poststand/poststand/mirror"
 )
 
-// Follower keeps a mirror up to date from the platform's store. Set the
-// exported fields before Run.
+// Follower keeps a mirror up to date from the platform's store. Set the exported fields before
+// Run.
 type Follower struct {
 	Mirror *mirror.Mirror
 	// ReadAll reads all records; Watch waits for changes after a position.
@@ -30,8 +30,8 @@
 	// MaxAssumedAge is the age that a change found only now is assumed to have at most, where
 	// nothing proves that it is younger.
 	MaxAssumedAge time.Duration
-	// Needed, if set, reports whether the platform should be read; a follower that is not
-	// needed polls it.
+	// Needed, if set, reports whether this process should read the platform. While it does not,
+	// Run reads nothing and calls Needed at intervals.
 	Needed func() bool
 
 	// ReadDelay, if set, returns how long this process waits for changes from its peers before
@@ -310,8 +310,8 @@
 	}
 }
 
-// cancelUnneeded cancels a read of all records once it is no longer needed, since peers have
-// sent them: they are many bytes on a shared link.
+// cancelUnneeded cancels a read of all records once Needed reports that it is not needed, as when
+// peers have sent them: all records are many bytes on a shared link.
 func (f *Follower) cancelUnneeded(ctx context.Context, cancel context.CancelFunc) {
 	for ; ctx.Err() == nil; kernel.Sleep(ctx, startPollInterval) {
 		if f.Needed != nil && !f.Needed() {
@@ -362,7 +362,7 @@
 	requestedAt := time.Now()
 	at, err := f.readNewest(ctx)
 	if err != nil {
-		// The watch may be silent too. Other processes may take over watching meanwhile.
+		// The watch may have stalled too. Other processes may take over watching meanwhile.
 		f.setWatching(false)
 		telemetry.Log("store_check_failed", "reason", fault.CodeOf(err), "at", f.Mirror.At(), "certain", time.Since(f.CurrentAsOf()))
 		f.Event("store_check_failed", fault.CodeOf(err))
--- a/internal/peers/gossip.go
+++ b/internal/peers/gossip.go
@@ -320,8 +320,8 @@
 	}
 }
 
-// AnnounceWatching announces, while this gateway watches the platform, that it does to the
-// first gateways of all halls, so that they need not watch themselves.
+// AnnounceWatching sends announcements to the first gateways of all halls while this gateway
+// watches the platform, so that they need not watch it themselves.
 func (g *Gossip) AnnounceWatching(ctx context.Context) error {
 	g.init()
 	for ctx.Err() == nil {
--- a/internal/peers/held.go
+++ b/internal/peers/held.go
@@ -10,7 +10,7 @@
 	"github.com/poststand/poststand/wire"
 )
 
-// HeldKeys announces the records that the sender holds against the platform's records since
+// HeldKeys announces the records that the sender holds in place of the platform's records since
 // the platform was restored from a backup; see mirror.HeldRecord.
 type HeldKeys struct {
 	From Member
@@ -91,7 +91,7 @@
 	}
 	r, ok := m.(*HeldRecords)
 	if !ok || len(r.Left) != len(r.Records.Delta.Records) {
-		return fault.New(fault.Garbage, "held records and their times do not match")
+		return fault.New(fault.Garbage, "invalid answer to a request for held records")
 	}
 	r.Records.setTimes(requestedAt)
 	for i, rec := range r.Records.Delta.Records {
@@ -142,7 +142,7 @@
 // formatHold formats the time for which a record is still held.
 func formatHold(until time.Time) string {
 	if until.IsZero() {
-		return "until news"
+		return "until superseded"
 	}
 	return time.Until(until).Round(time.Millisecond).String()
 }
--- a/internal/peers/limits.go
+++ b/internal/peers/limits.go
@@ -66,7 +66,7 @@
 	}
 	p, ok := m.(*Permit)
 	if !ok || p.NextIn < 0 || !p.Limit.Valid() {
-		return nil, fault.New(fault.Garbage, "permit")
+		return nil, fault.New(fault.Garbage, "invalid answer to a permit request")
 	}
 	return p, nil
 }
--- a/internal/peers/message.go
+++ b/internal/peers/message.go
@@ -124,8 +124,8 @@
 	// Changing reports that the replica is about to load another version and should get no new
 	// requests.
 	Changing bool
-	// ChangeIn is the time until then, or 0 if it is not known: requests sent to the replica
-	// should end by then.
+	// ChangeIn is the time until the replica loads the other version, or 0 if it is not known:
+	// requests sent to the replica should end by then.
 	ChangeIn      time.Duration
 	Reached       bool // The replica answered its agent.
 	Queued        int
--- a/internal/peers/push.go
+++ b/internal/peers/push.go
@@ -20,7 +20,7 @@
 // do not forward it. Changes that a gateway had to pull are announced, since others may lack
 // them too.
 func (g *Gossip) pushChanges(ctx context.Context) bool {
-	at := g.Mirror.At() // Read before the others: later positions are left to the next call.
+	at := g.Mirror.At() // Read first: changes after it are left to the next call.
 	platformAt := g.Follower.PlatformPosition()
 	g.mu.Lock()
 	pulled, fromPlatform, forward := g.pulledAt > g.handledAt, platformAt > g.handledAt, g.forwardAt > g.handledAt
--- a/internal/peers/records.go
+++ b/internal/peers/records.go
@@ -27,8 +27,8 @@
 }
 
 // setTimes converts the ages of records to times by this process's clock. The answer was
-// produced after it was requested, so an age counted back from the request gives no time that
-// is too late.
+// produced after requestedAt, so a time computed by subtracting an age from it is never too
+// late.
 func (r *Records) setTimes(requestedAt time.Time) {
 	for i := range r.Delta.Records {
 		if i < len(r.Ages) {
@@ -66,9 +66,9 @@
 	return out
 }
 
-// dropHistory removes the earlier changes from records that came unsolicited, which get no
-// times either: a message that was delayed, or waited in the socket while this process was
-// paused, is older than its ages state.
+// dropHistory removes the earlier changes from records that were received unsolicited. The ages
+// of such records are not used either: if the message was delayed, or waited in the socket while
+// this process was paused, they are too low.
 func (r *Records) dropHistory() {
 	for i := range r.Delta.Records {
 		r.Delta.Records[i].Earlier = nil
--- a/internal/peers/suspects.go
+++ b/internal/peers/suspects.go
@@ -35,8 +35,8 @@
 	a.Suspects = g.Suspects.PendingReports(now, remoteDigest)
 }
 
-// learnSuspects merges such requests from another gateway's announcement. An unsolicited
-// announcement may have been delayed: its contents are dated now.
+// learnSuspects merges the requests in another gateway's announcement during which replicas
+// terminated. An unsolicited announcement may have been delayed: its ages are counted from now.
 func (g *Gossip) learnSuspects(a *Announcement, requestedAt, now time.Time) {
 	if g.Suspects == nil {
 		return
--- a/internal/relay/agents.go
+++ b/internal/relay/agents.go
@@ -12,8 +12,8 @@
 )
 
 // minAssignInterval is the minimum interval between two assignments to an agent while its
-// model, version and origin stay the same. Replicas come and go all the time, an agent does
-// not need each such change at once, and the link of its box is small.
+// model, version and origin stay the same. Replicas are added and removed frequently, an agent
+// does not need each such change at once, and the link of its box has little bandwidth.
 const minAssignInterval = 400 * time.Millisecond
 
 // serveSubscribe sends an agent its assignment, at once and on each change.
@@ -67,7 +67,7 @@
 }
 
 // slowLinkRTT is the round-trip time of a ping from which the link to an agent's box counts as
-// slow. Transfers of weights alone cause shorter ones.
+// slow. Transfers of weights alone cause shorter round-trip times.
 const slowLinkRTT = 400 * time.Millisecond
 
 // serveStatus receives an agent's status reports about its replica until the stream ends.
--- a/internal/relay/answer.go
+++ b/internal/relay/answer.go
@@ -62,8 +62,8 @@
 	o.failureHeader, o.failureStatus, o.failureBody = resp.Header, resp.StatusCode, data
 }
 
-// writeFailure sends the stored failure response to the caller, if there is one and its status
-// does not suggest that the request can be retried (408, 429, 503). It reports whether it did.
+// writeFailure sends the stored failure response to the caller if its status is at least 500
+// and does not suggest that the request can be retried (503). It reports whether it did.
 func (o *answer) writeFailure() bool {
 	switch o.failureStatus {
 	case 0, http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -116,7 +116,7 @@
 		}
 		return nil, notRun(fault.Unreachable)
 	}
-	// Dialling may have taken seconds, in which the replica may have withdrawn.
+	// Dialling may have taken seconds, and the replica may no longer accept the request.
 	if code := a.relay.table.Recheck(time.Now(), a.to.Reservation); code != "" {
 		_ = c.Close()
 		a.relay.Metrics.Event("request_withdrawn", string(code))
@@ -155,7 +155,7 @@
 	var b bytes.Buffer
 	b.WriteString(rq.method + " " + rq.target + " HTTP/1.1\r\nHost: " + rq.host + "\r\n")
 	if err := h.Write(&b); err != nil {
-		return 0, fault.Wrap(fault.BadRequest, err, "header")
+		return 0, fault.Wrap(fault.BadRequest, err, "writing the request header")
 	}
 	b.WriteString("\r\n")
 	b.Write(rq.body)
@@ -174,10 +174,11 @@
 }
 
 // expectedVersion returns the only version that may run the request, or 0 if any may. If the
-// answer has begun, it is the version of that part. Otherwise it is the replica's version if
-// that is the newest, or if the deadline of older versions has passed. Without it, a request
-// sent on outdated information would start on the older version, and nothing would cancel it
-// at that version's deadline.
+// answer has begun, it is the version of that part. Otherwise, at a replica with an engine and
+// once older versions have a start deadline, it is the replica's version if that one has no
+// deadline itself, or if the deadline of older versions has passed. Without an expected version,
+// a request sent on outdated information would start on the older version, and nothing would
+// cancel it at that version's deadline.
 func (a *attempt) expectedVersion() uint64 {
 	if a.rq.version > 0 {
 		return a.rq.version
@@ -290,7 +291,7 @@
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil || len(data) > maxAnswerBytes {
 		if err == nil {
-			err = fault.New(fault.TooLarge, "answer")
+			err = fault.New(fault.TooLarge, "answer exceeds the size limit")
 		}
 		return a.bodyResult(ctx, err), false
 	}
--- a/internal/relay/callers.go
+++ b/internal/relay/callers.go
@@ -113,7 +113,7 @@
 		maxBytes = defaultMaxBytes
 	}
 	if r.ContentLength > int64(maxBytes) {
-		return fault.New(fault.TooLarge, "body")
+		return fault.New(fault.TooLarge, "request body exceeds the size limit")
 	}
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(rq.deadline)
@@ -125,11 +125,11 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return fault.Wrap(fault.TooLarge, err, "body")
+		return fault.Wrap(fault.TooLarge, err, "reading the request body")
 	case isTimeout(err):
-		return fault.Wrap(fault.Timeout, err, "body")
+		return fault.Wrap(fault.Timeout, err, "reading the request body")
 	}
-	return fault.Wrap(fault.BadRequest, err, "body")
+	return fault.Wrap(fault.BadRequest, err, "reading the request body")
 }
 
 // hostOf returns a host without its port.
--- a/internal/relay/notify.go
+++ b/internal/relay/notify.go
@@ -49,8 +49,8 @@
 	return out, n.added
 }
 
-// notifyPeers calls send with the pending keys, again and again until ctx ends. send returns
-// the number of gateways that it notified.
+// notifyPeers calls send with the pending keys whenever there are any, until ctx ends. send
+// returns the number of gateways that it notified.
 func notifyPeers[K comparable](ctx context.Context, n *notifyQueue[K], send func(ctx context.Context, pending map[K]bool, now time.Time) int) error {
 	for ctx.Err() == nil {
 		pending, added := n.take()
--- a/internal/relay/permit.go
+++ b/internal/relay/permit.go
@@ -114,7 +114,7 @@
 }
 
 // backOffLimiter suspends permit requests to the limiter at an address, for all of its
-// replicas. Otherwise each request would wait for the time-out again.
+// replicas. Otherwise each request would wait for the timeout again.
 func (g *Relay) backOffLimiter(addr string, until time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -133,7 +133,7 @@
 
 func (g *Relay) servePermitRequest(ctx context.Context, s *wire.Stream, m *peers.PermitRequest) {
 	if !m.Limit.Valid() {
-		_ = s.Fail(ctx, fault.New(fault.BadRequest, "limit"))
+		_ = s.Fail(ctx, fault.New(fault.BadRequest, "invalid replica limit"))
 		return
 	}
 	_ = s.SendLast(ctx, g.grantPermit(time.Now(), m, s.Conn().Remote().Box))
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -155,9 +155,9 @@
 	Later: 600 * time.Millisecond, LaterJitter: 900 * time.Millisecond,
 }
 
-// shouldWatch reports whether this gateway should watch the platform itself. While it has no
-// records, gateways that others join through watch at once, and others only after startDelay,
-// so that those have time to pass the records on.
+// shouldWatch reports whether this gateway should watch the platform itself. While its mirror is
+// empty, a gateway that is listed in Join watches at once. Any other waits for startDelay first,
+// so that the listed ones have time to pass the records on.
 func (g *Relay) shouldWatch() bool {
 	if g.mirror.At() > 0 {
 		return g.gossip.ShouldWatch()
@@ -309,7 +309,7 @@
 // the old settings stay in force.
 func (g *Relay) Reload(s *settings.Relay) error {
 	if !g.Settings.CanReload(s) {
-		return fault.New(fault.BadConfig, "names and addresses can be changed only by a restart")
+		return fault.New(fault.BadConfig, "cluster, box, hall, store, join list and listen addresses can be changed only by a restart")
 	}
 	g.bounds.Store(&s.RelayReloadable)
 	g.table.SetDelistGrace(delistGrace(&s.RelayReloadable))
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -17,8 +17,8 @@
 	// balancerNotice allows for two failed health checks of the load balancer, and one that
 	// may be in progress.
 	balancerNotice = 3200 * time.Millisecond
-	// streamCutoff is when the load balancer has noticed the drain, unless it uses all
-	// gateways of a hall because too few are ready.
+	// streamCutoff is the time from the start of a drain by which the load balancer has noticed
+	// it, unless it uses all gateways of a hall because too few are ready.
 	streamCutoff      = 2800 * time.Millisecond
 	exitMargin        = 300 * time.Millisecond // Time left before the end of the grace period, when the process would be killed.
 	answerMargin      = 100 * time.Millisecond // Time between the last answers and the exit.
@@ -74,7 +74,7 @@
 	if s.Admin != "" {
 		admin, err := net.Listen("tcp", s.Admin)
 		if err != nil {
-			return fault.Wrap(fault.Unreachable, err, "admin")
+			return fault.Wrap(fault.Unreachable, err, "admin listener")
 		}
 		a := &telemetry.Admin{Metrics: g.Metrics, Ready: g.Ready, Status: func() any { return g.Status() }}
 		k.AddTask(func(ctx context.Context) error { return telemetry.ServeHTTP(ctx, admin, a.Server()) })
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -31,7 +31,7 @@
 	for {
 		if len(buf) == cap(buf) {
 			if len(buf) > maxEventBytes {
-				return fault.New(fault.TooLarge, "event")
+				return fault.New(fault.TooLarge, "stream event exceeds the size limit")
 			}
 			buf = append(buf, make([]byte, len(buf))...)[:len(buf)]
 		}
@@ -47,7 +47,7 @@
 				a.rq.version = a.result.Version
 			}
 			if werr := a.out.writeEvents(resp, buf[:end]); werr != nil {
-				return fault.Wrap(errCaller, werr, "caller")
+				return fault.Wrap(errCaller, werr, "writing to the caller")
 			}
 			buf = append(buf[:0], buf[end:]...)
 			_ = a.conn.SetReadDeadline(a.readDeadline(time.Now(), gap))
@@ -63,7 +63,7 @@
 			return fault.New(fault.Truncated, "stream ended inside an event")
 		case err == io.EOF && len(buf) > 0:
 			if werr := a.out.writeEvents(resp, buf); werr != nil {
-				return fault.Wrap(errCaller, werr, "caller")
+				return fault.Wrap(errCaller, werr, "writing to the caller")
 			}
 			return a.out.finish(resp)
 		case err == io.EOF:
--- a/internal/relay/suspect.go
+++ b/internal/relay/suspect.go
@@ -18,8 +18,8 @@
 
 // minRunTime is how long a request must have been in progress on a reused connection to be a
 // suspect. If the replica terminated shortly before, the connection breaks as soon as the
-// request is sent, and the request has not run. Otherwise, when all replicas terminate at
-// once, one request would be struck for two of them.
+// request is sent, and the request has not run. Without this minimum, when all replicas
+// terminate at once, one request would get strikes for two of them.
 const minRunTime = 30 * time.Millisecond
 
 // isQuarantined looks up a request before it is sent and reports whether it must not be sent.
--- a/internal/relay/upstreamstate.go
+++ b/internal/relay/upstreamstate.go
@@ -116,15 +116,15 @@
 	return lowest, found
 }
 
-// logUnreadable counts and logs an invalid header. The response is treated as if it had none.
+// logUnreadable counts and logs an invalid header value, which has no effect otherwise.
 func (a *attempt) logUnreadable(resp *http.Response, replica fleet.Incarnation, header, value string) {
 	const maxLen = 40
 	a.relay.Metrics.Event("upstream_unreadable", header)
 	a.log("upstream_unreadable", resp, replica, "header", header, "value", value[:min(maxLen, len(value))])
 }
 
-// log logs an event about a response, with the request that it belongs to and the position of
-// the replica's list entry when it was chosen.
+// log logs an event about a response, with the request of this attempt and the position of the
+// replica's list entry when the replica was chosen.
 func (a *attempt) log(event string, resp *http.Response, replica fleet.Incarnation, fields ...any) {
 	telemetry.Log(event, append([]any{
 		"id", replica.ID, "addr", a.to.Addr, "service", a.to.Service, "request", a.rq.id, "status", resp.StatusCode,
--- a/limit/rate.go
+++ b/limit/rate.go
@@ -44,13 +44,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if l.InFlight > 0 && r.inFlight >= l.InFlight {
-		return now.Add(time.Second), fault.New(fault.RateLimited, "requests in flight")
+		return now.Add(time.Second), fault.New(fault.RateLimited, "limit of requests in flight reached")
 	}
 	if l.PerSecond > 0 {
 		r.refill(now, l)
 		if r.tokens < 1 {
 			wait := (1 - r.tokens) / l.PerSecond
-			return now.Add(time.Duration(wait * float64(time.Second))), fault.New(fault.RateLimited, "requests a second")
+			return now.Add(time.Duration(wait * float64(time.Second))), fault.New(fault.RateLimited, "limit of requests per second reached")
 		}
 		r.tokens--
 	}
--- a/limit/window.go
+++ b/limit/window.go
@@ -9,7 +9,7 @@
 // plus a constant slack. It is one gateway's part of a limit over all of them.
 type RetryWindow struct {
 	Length time.Duration
-	Ratio  float64 // Retries for each request.
+	Ratio  float64 // Retries allowed per request.
 
 	mu        sync.Mutex
 	startedAt time.Time // Steps are counted from here, so that changes of the wall clock have no effect.
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -113,7 +113,7 @@
 // Apply applies a delta and reports whether the mirror now holds every change up to
 // d.At. It refuses a delta that starts after the mirror's position, which would leave
 // a gap, and an incremental delta of a later era. A delta that ends before the mirror's
-// position changes nothing.
+// position changes at most the histories of records that the mirror has already.
 func (m *Mirror) Apply(d Delta) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/mirror/position.go
+++ b/mirror/position.go
@@ -76,7 +76,7 @@
 			return err
 		}
 		if n != positionFields {
-			return fault.New(fault.Garbage, "position")
+			return fault.New(fault.Garbage, "position: invalid array length")
 		}
 		if era, err = dec.DecodeUint64(); err != nil {
 			return err
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -13,8 +13,8 @@
 //   - Rounds. The round of a strike is one more than the highest round known to its sender when
 //     it sent the request. However many copies of a request are lost at one moment, as when
 //     many replicas lose power, they count as one strike. A further termination counts as well
-//     if the request was sent again by a process that had a record of the earlier one, or if it came
-//     0.3 s later.
+//     if it came at least 0.3 s later, or at least 0.15 s later under a request that was sent
+//     again by a process that had a record of the earlier one.
 //   - Success. A request that was served is cleared: all of its strikes are dropped.
 //   - Coincidence. Replicas that terminate close to one another with nothing in common, or under
 //     another request that has more strikes, are weak evidence; see isCause.
--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -4,8 +4,8 @@
 
 // When a request is quarantined.
 const (
-	// MinStrikes independent strikes are enough if hardly any other replica terminated
-	// meanwhile. A harmless request gets that many in a row if each of three sends happens to
+	// MinStrikes independent strikes are enough if the request was at more than half of the
+	// replicas that terminated meanwhile; see isCause. A harmless request gets that many in a row if each of three sends happens to
 	// meet a replica that terminates for another reason.
 	MinStrikes = 3
 	// strikesSufficient independent strikes are enough whatever other replicas terminated.
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -29,8 +29,8 @@
 	maxReports = 8 // Per message.
 	// reportRepeats is in how many messages a change is reported, and reportFor for how long at
 	// most. Every process that receives a change reports it as often, so that it reaches all
-	// even if messages are lost. When a hall loses power, reports are sent of thousands of
-	// requests that are never repeated.
+	// even if messages are lost. When a hall loses power, thousands of requests that are never
+	// repeated are reported.
 	reportRepeats = 16
 	reportFor     = 10 * time.Second
 	sharedStrikes = 2 // A request with this many strikes is reported without delay and shared with all processes.
--- a/route/declared.go
+++ b/route/declared.go
@@ -13,7 +13,7 @@
 // incarnation ends.
 type declaredState struct {
 	leavingSince time.Time // When the list or the replica first reported that it is leaving; zero if neither did.
-	backoffUntil time.Time // Until when the replica requested a backoff of this gateway.
+	backoffUntil time.Time // End of the backoff that the replica requested from this gateway; zero if none.
 	limit        Limit
 }
 
@@ -149,7 +149,7 @@
 	return len(r.sent)
 }
 
-// MarkBackoff records that a replica requested a backoff of this gateway until a time. It never
+// MarkBackoff records that a replica requested that this gateway back off until a time. It never
 // shortens an earlier backoff.
 func (t *Table) MarkBackoff(inc fleet.Incarnation, now, until time.Time) {
 	t.mu.Lock()
--- a/route/predict.go
+++ b/route/predict.go
@@ -44,8 +44,9 @@
 	return load * float64(r.Report.Queued) / reported, load * float64(r.Report.Running) / reported
 }
 
-// expectedLatency is predictLatency corrected by the measured latency ratio of the replica, and
-// at least the time for which waiting requests have had no first event.
+// expectedLatency returns predictLatency corrected by the measured latency ratio of the replica.
+// While requests wait for a first event, it is at least the time for which the replica has
+// produced none.
 func (r *Replica) expectedLatency(now time.Time, e config.Engine, w Workload) time.Duration {
 	d := time.Duration(float64(r.predictLatency(now, e, w)) * r.latencyRatio)
 	if r.prefilling > 0 {
@@ -71,13 +72,13 @@
 	batch := float64(r.prefilling+r.decoding) + queued + running
 	decoding := min(slots, float64(r.decoding)+running)
 	step := e.StepTime + time.Duration(decoding*float64(e.StepTimePerSequence))
-	read := time.Duration(tokens / e.PrefillRate * float64(time.Second))
+	prefillTime := time.Duration(tokens / e.PrefillRate * float64(time.Second))
 	passes := math.Ceil(tokens / float64(max(1, e.PrefillChunk)))
 	stride := 1.0
 	if decoding > 0 {
 		stride = float64(max(1, e.StepsPerPrefill))
 	}
-	ttft := read + time.Duration((passes+0.5)*stride*float64(step))
+	ttft := prefillTime + time.Duration((passes+0.5)*stride*float64(step))
 	if batch >= slots {
 		perRequest := time.Duration(float64(e.MeanAnswerTokens) * float64(step) * 1.6)
 		ttft += time.Duration((batch - slots + 1) / slots * float64(perRequest))
--- a/route/rollout.go
+++ b/route/rollout.go
@@ -27,29 +27,29 @@
 
 // Version returns the version to request. It moves to the target version once enough replicas
 // report it as ready, and from there only to the target of a newer configuration.
-func (o *Rollout) Version(now time.Time, w Target, r *Router) string {
+func (o *Rollout) Version(now time.Time, target Target, r *Router) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.services == nil {
 		o.services = map[string]*rolloutState{}
 	}
-	s, ok := o.services[w.Service]
+	s, ok := o.services[target.Service]
 	if !ok {
 		s = &rolloutState{}
-		o.services[w.Service] = s
+		o.services[target.Service] = s
 	}
-	if w.Revision < s.revision || s.movedTo == w.Digest {
+	if target.Revision < s.revision || s.movedTo == target.Digest {
 		return s.current
 	}
-	s.revision = w.Revision
-	if r.CountReady(now, w.Service, w.Digest) >= max(1, w.MinReady) {
-		s.current, s.movedTo = w.Digest, w.Digest
+	s.revision = target.Revision
+	if r.CountReady(now, target.Service, target.Digest) >= max(1, target.MinReady) {
+		s.current, s.movedTo = target.Digest, target.Digest
 		return s.current
 	}
 	if s.current == "" {
 		// A gateway that has just started uses the version that most replicas of the hall
 		// serve.
-		s.current = mostReady(r.Versions(now, w.Service))
+		s.current = mostReady(r.Versions(now, target.Service))
 	}
 	return s.current
 }
--- a/route/router.go
+++ b/route/router.go
@@ -10,18 +10,18 @@
 	"github.com/poststand/poststand/rendezvous"
 )
 
-// Tuning of a Router.
+// Parameters of a Router.
 const (
 	reportHalfLife  = 3 * time.Second        // The load of other gateways in a report counts half after this time.
-	spillFactor     = 1.25                   // Load over the mean from which a prefix spills over to another upstream.
-	spillSlack      = 2.0                    // Requests beyond spillFactor that are always allowed.
+	spillFactor     = 1.25                   // Ratio of load to the mean above which a prefix spills over to another upstream.
+	spillSlack      = 2.0                    // Requests allowed in addition to spillFactor times the mean.
 	slowStart       = 5 * time.Second        // Time until a new upstream gets its full share.
 	slowStartMin    = 0.2                    // Share at the beginning of slow start.
 	ejectBase       = 2 * time.Second        // Duration of a first ejection; doubles with each further one.
 	ejectMax        = 30 * time.Second       // Longest ejection.
 	ejectAfter      = 3                      // Consecutive failures.
 	maxEjectedShare = 0.34                   // Share of the upstreams of a service that may be ejected at once.
-	slowFactor      = 3.0                    // First-token time over the median from which an upstream counts as slow.
+	slowFactor      = 3.0                    // Ratio of the first-token time to the median from which an upstream counts as slow.
 	ttftWeight      = 0.2                    // Weight of a new first-token sample.
 	stallMin        = 400 * time.Millisecond // An upstream with requests in flight counts as stalled after stallMin plus
 	stallFactor     = 3.0                    // stallFactor times the median first-token time without activity.
--- a/route/sync.go
+++ b/route/sync.go
@@ -134,8 +134,8 @@
 	return now.Sub(res.replica.changingSince)
 }
 
-// version returns the version that the replica holds according to the newest report. The caller
-// holds t.mu.
+// version returns the version that the replica holds according to its agent's report or, without
+// a current one, the newer of its list entry and its last answer. The caller holds t.mu.
 func (r *Replica) version(now time.Time) uint64 {
 	v := max(r.Version, r.servedVersion)
 	if r.hasReport(now) {
--- a/route/table.go
+++ b/route/table.go
@@ -45,8 +45,8 @@
 	// changingSince is when the replica was first reported to be about to switch versions; zero
 	// if it is not.
 	changingSince time.Time
-	// availableSince is when the replica was last reported to accept requests again, or is due
-	// to end its backoff.
+	// availableSince is when the replica last became available: it was reported to accept
+	// requests again, its backoff ends (possibly in the future), or its limit was removed.
 	availableSince time.Time
 	// slowLinkUntil is the time until which the replica's link counts as slow; each report of a
 	// slow link extends it.
@@ -66,7 +66,7 @@
 	ejections      int
 	fullUntil      time.Time // Set when the replica refuses a request for lack of capacity.
 	notHeldAt      time.Time // When it last refused a request because it does not hold what it was expected to.
-	servedVersion  uint64    // The version of its last answer, if newer than its list entry.
+	servedVersion  uint64    // Version of its last answer that stated one; 0 if there is none.
 	latencyRatio   float64   // Smoothed ratio of the measured to the predicted time to the first event.
 	waitingSince   time.Time // While requests wait for a first event: the last first event, or when the first of them was sent.
 	typicalLatency time.Duration
@@ -94,21 +94,21 @@
 	past     map[fleet.Incarnation]pastIncarnation
 }
 
-// Tuning of a Table.
+// Parameters of a Table.
 const (
-	agentReportTTL      = 3 * time.Second // Older agent reports are ignored.
-	agentReportHalfLife = 600 * time.Millisecond
+	agentReportTTL      = 3 * time.Second         // Older agent reports are ignored.
+	agentReportHalfLife = 600 * time.Millisecond  // The load of other gateways in a report counts half after this time.
 	freshReportAge      = 1300 * time.Millisecond // Agents report at least once a second.
 	otherHallCost       = 15 * time.Millisecond   // Added for a replica of another hall.
-	fullBackoff         = 100 * time.Millisecond
-	replicaEjectBase    = 500 * time.Millisecond // Duration of a first ejection; doubles with each further one.
+	fullBackoff         = 100 * time.Millisecond  // How long a replica counts as full after a refusal for lack of capacity.
+	replicaEjectBase    = 500 * time.Millisecond  // Duration of a first ejection; doubles with each further one.
 	replicaEjectMax     = 8 * time.Second
 	replicaEjectAfter   = 2                       // Consecutive failures.
 	notHeldTTL          = 1500 * time.Millisecond // After a refusal, the held version counts as unknown for this long, or until a newer report.
-	ratioWeight         = 0.2
-	ratioWeightUp       = 0.35
-	maxLatencyRatio     = 8.0
-	defaultLatency      = 60 * time.Millisecond // Assumed request time if none is known.
+	ratioWeight         = 0.2                     // Weight of a latency-ratio sample that is not above the smoothed ratio.
+	ratioWeightUp       = 0.35                    // Weight of a sample above it.
+	maxLatencyRatio     = 8.0                     // Samples are limited to this ratio and its inverse.
+	defaultLatency      = 60 * time.Millisecond   // Assumed request time if none is known.
 	// A request is sent to a version with a start deadline only if it is expected to start by
 	// then even if starting takes startFactor times the predicted time plus startMargin.
 	startFactor         = 1.5
@@ -116,15 +116,15 @@
 	receivingMargin     = 400 * time.Millisecond  // Added while weights are sent to the box: if its link narrows, they queue ahead of requests.
 	slowLinkMargin      = 2500 * time.Millisecond // Added if the link to the replica may be slow.
 	slowLinkFor         = 6 * time.Second         // A link counts as slow for this long after a report, since the next one may report it again.
-	slowLinkCost        = 100 * time.Millisecond
-	prefillOverhead     = 1.5                    // Factor by which prompts processed in the same batch lengthen a decoding step.
-	sampledInHall       = 2                      // Candidates of the gateway's own hall considered for each choice.
-	sampledElsewhere    = 2                      // Candidates of other halls considered for each choice.
-	rampUpStart         = 0.15                   // Share of the choices that consider a replica that just became available;
-	rampUpTime          = 700 * time.Millisecond // it grows to all of them over this time.
-	slowReplicaSlowdown = 1.5                    // Slowdown from which a replica counts as slow.
-	permitCost          = 5 * time.Millisecond   // Time to request a permit for a replica that has a rate limit.
-	switchDelayCost     = 0.2                    // Cost per time by which a request would delay a version switch.
+	slowLinkCost        = 100 * time.Millisecond  // Added to the cost of a replica whose link counts as slow.
+	prefillOverhead     = 1.5                     // Factor by which prompts processed in the same batch lengthen a decoding step.
+	sampledInHall       = 2                       // Candidates of the gateway's own hall considered for each choice.
+	sampledElsewhere    = 2                       // Candidates of other halls considered for each choice.
+	rampUpStart         = 0.15                    // Share of the choices that consider a replica that just became available;
+	rampUpTime          = 700 * time.Millisecond  // it grows to all of them over this time.
+	slowReplicaSlowdown = 1.5                     // Slowdown from which a replica counts as slow.
+	permitCost          = 5 * time.Millisecond    // Time to request a permit for a replica that has a rate limit.
+	switchDelayCost     = 0.2                     // Cost per time by which a request would delay a version switch.
 )
 
 // Criteria describes the request that Pick chooses a replica for.
@@ -324,10 +324,10 @@
 }
 
 // versionDeadline returns the deadline of a request at the replica, so that the request does
-// not wait there past the time of the version. Replicas drop requests past their deadline
-// themselves, whereas closing the connection may be delayed or ignored. They also cut off
-// answers that have begun, so if the whole answer is not predicted to end in time, there is no
-// deadline and outlasts is true.
+// not wait there past LatestDeadline of the replica's version. Replicas drop requests past
+// their deadline themselves, whereas closing the connection may be delayed or ignored. They
+// also cut off answers that have begun, so if the whole answer is not predicted to end in time,
+// there is no deadline and outlasts is true.
 func (r *Replica) versionDeadline(now time.Time, e config.Engine, crit Criteria) (deadline time.Time, outlasts bool) {
 	if !r.Engine || crit.LatestDeadline == nil {
 		return time.Time{}, false
