--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -83,7 +83,7 @@
 	return out
 }
 
-// DropReplaced removes each upstream whose address a later one is listed with. A crashed
+// DropReplaced removes each upstream that one listed later with the same address replaces. A crashed
 // incarnation stays listed for a while beside its successor, and information about the address
 // would be attributed to either. It must be called before c is published.
 func (c *Catalog) DropReplaced() {
--- a/config/parse.go
+++ b/config/parse.go
@@ -97,6 +97,8 @@
 	}
 }
 
+// report records a problem at path in the document that defines path, or else its closest
+// parent that is defined.
 func (p *parser) report(path, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	for prefix := path; prefix != ""; {
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -5,7 +5,7 @@
 // digest; NotRun, it is proved that the request did not start anywhere; Unknown, it may
 // have run.
 //
-// Gate is the agent's side. It admits the requests of one box one at a time, and its
+// Gate is the agent's side. All requests to one box are admitted by its one Gate, whose
 // state ends with the process on that box, so it alone can guarantee that a request runs
 // at most once or has not run. It admits a dispatch only if it names this incarnation of
 // the agent, the version that is served, and a deadline in the future. A request that
--- a/dispatch/gate.go
+++ b/dispatch/gate.go
@@ -30,7 +30,7 @@
 	Reason    fault.Code    // Why the request was dropped.
 	Answer    *Answer       // The answer so far; nil for a fence.
 	key       string
-	order     uint64
+	order     uint64 // Increases with each request that is queued.
 }
 
 // KeyHome describes whether an agent is the home of an idempotency key: the only agent
--- a/dispatch/message.go
+++ b/dispatch/message.go
@@ -78,7 +78,7 @@
 
 // States of a request at the agent that was asked to void it.
 const (
-	VoidUnknown  VoidState = iota // Another incarnation, or no room for a fence.
+	VoidUnknown  VoidState = iota // Another incarnation, no record after the deadline, or no room for a fence.
 	VoidFenced                    // Never started, and now it cannot.
 	VoidRunning                   // Started and not finished.
 	VoidFinished                  // Finished.
@@ -132,7 +132,7 @@
 	}
 }
 
-// Messages registers this package's messages.
+// Messages lists the wire messages of this package.
 var Messages = []wire.Entry{
 	{Kind: 16, Message: &Dispatch{}},
 	{Kind: 17, Message: &AnswerHead{}},
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -91,7 +91,7 @@
 }
 
 // strategies are the distribution strategies that settings may name. All boxes of a
-// fleet must use the same strategy; the others are baselines for measurements.
+// fleet must use the same strategy. Tree and Direct are baselines for measurements.
 var strategies = map[string]weights.Strategy{
 	settings.StrategySwarm: weights.Swarm, settings.StrategyTree: weights.Tree, settings.StrategyDirect: weights.Direct,
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -23,7 +23,7 @@
 	maxFreshFor       = 30 * time.Second // Upper bound of FreshFor.
 	keyWindowRatio    = 3                // The key window is at least this many times FreshFor.
 	pollsPerFreshness = 3                // Idle polls within FreshFor.
-	freshnessSteps    = 6                // FreshFor divided by the smallest extension that is sent by itself.
+	freshnessSteps    = 6                // An extension of freshness alone is sent once it exceeds FreshFor divided by this.
 	minBackoff        = 100 * time.Millisecond
 	maxBackoff        = 2 * time.Second
 	exchangeInterval  = time.Second // Minimum time between polls of other halls.
@@ -153,7 +153,7 @@
 }
 
 // mayWatch reports whether this gateway may watch the platform: it is one of the first
-// in rank, or the view is about to expire, so that the watchers appear to have
+// in rank, or the view is about to expire, which shows that the watchers have probably
 // failed. The further back its rank, the later it takes over.
 func (f *Feed) mayWatch(now time.Time) bool {
 	r := f.rank()
@@ -335,7 +335,7 @@
 	}
 	r, ok := m.(*SyncReply)
 	if !ok {
-		return fault.New(fault.Garbage, "sync reply")
+		return fault.New(fault.Garbage, "unexpected reply to a sync request")
 	}
 	if r.Head.Version != 0 && r.Head.Version == f.refusedRevision() {
 		return fault.New(fault.BadConfig, "reply contains a revision that was refused as invalid")
--- a/internal/feed/message.go
+++ b/internal/feed/message.go
@@ -36,7 +36,7 @@
 	Data []byte
 }
 
-// Messages registers this package's messages.
+// Messages lists the wire messages of this package.
 var Messages = []wire.Entry{
 	{Kind: 48, Message: &SyncRequest{}},
 	{Kind: 49, Message: &SyncReply{}},
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -114,7 +114,7 @@
 	for {
 		m, err := s.Recv(ctx)
 		if err == io.EOF {
-			err = fault.New(fault.Truncated, "")
+			err = fault.New(fault.Truncated, "stream ended before the end of the answer")
 		}
 		if err != nil {
 			return dispatch.Result{}, err
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -90,13 +90,13 @@
 		d.Path += "?" + r.URL.RawQuery
 	}
 	if r.Header.Get(HeaderUnsafe) == "" {
-		d.Unsafe = !safeMethod(r.Method)
+		d.Unsafe = !idempotentMethod(r.Method)
 	}
 	g.serveRequest(w, r, d, config.KindPlain)
 }
 
-// safeMethod reports whether HTTP defines a method as idempotent.
-func safeMethod(m string) bool {
+// idempotentMethod reports whether HTTP defines a method as idempotent.
+func idempotentMethod(m string) bool {
 	switch m {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
 		return true
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,4 +1,4 @@
-// Package link dials TCP connections with short time-outs, keep-alive probes and a limit on
+// Package link dials TCP connections with short timeouts, keep-alive probes and a limit on
 // unacknowledged data, so that a dead path is detected within about a second.
 package link
 
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time-outs and probes of connections.
+// Timeouts and probes of connections.
 const (
 	dialTimeout       = 600 * time.Millisecond
 	ackTimeout        = 1200 * time.Millisecond // Data that is unacknowledged for longer closes the connection.
@@ -27,7 +27,7 @@
 // Dialer connects to other processes of the system.
 type Dialer struct {
 	// Starting reports whether this process is still starting, so that dials use the
-	// shorter startup time-out.
+	// shorter startup timeout.
 	Starting func() bool
 	Connect  func(ctx context.Context, addr string) (net.Conn, error) // Establishes the connection; Dial if nil.
 }
--- a/internal/relay/permit.go
+++ b/internal/relay/permit.go
@@ -114,7 +114,7 @@
 }
 
 // backOffLimiter suspends permit requests to the limiter at an address, for all of its
-// replicas. Otherwise each request would wait for the time-out again.
+// replicas. Otherwise each request would wait for the timeout again.
 func (g *Relay) backOffLimiter(addr string, until time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/stager/assign.go
+++ b/internal/stager/assign.go
@@ -21,9 +21,9 @@
 type assignments struct {
 	mu             sync.Mutex
 	current        *peers.Assignment
-	target         catalog.Target // The versions that were published, and when by this box's clock.
+	target         catalog.Target // The versions that were published, with the times by this box's clock.
 	lastContact    time.Time      // When a gateway last answered, or its connection was last known to be alive.
-	firstContactAt time.Time      // When the first gateway was contacted; zero before.
+	firstContactAt time.Time      // When the agent first tried to contact a gateway; zero before.
 	startTimeout   time.Duration  // Replaces gatewayTimeout while nothing is assigned.
 	changed        chan struct{}
 }
@@ -32,8 +32,8 @@
 // itself.
 const gatewayTimeout = time.Second
 
-// startWait is drawn from in place of gatewayTimeout just after the start. Reading all
-// records may take half a second on a box's link.
+// startWait is the distribution of startTimeout. Reading all records may take half a second
+// on a box's link.
 var startWait = peers.StartDelay{
 	EarlyOneIn: 12,
 	Early:      150 * time.Millisecond, EarlyJitter: 450 * time.Millisecond,
@@ -75,7 +75,7 @@
 // assignment is an upper bound, so of two times for one version the later one is kept.
 // previous holds the times from earlier assignments.
 func targetFrom(n *peers.Assignment, now time.Time, previous catalog.Target) catalog.Target {
-	var w catalog.Target
+	var target catalog.Target
 	for _, s := range n.Steps {
 		publishedAt := now.Add(-s.Age)
 		for _, p := range previous.Changes {
@@ -83,9 +83,9 @@
 				publishedAt = times.Later(publishedAt, p.SetAt)
 			}
 		}
-		w = w.With(catalog.TargetChange{Version: s.Version, SetAt: publishedAt})
+		target = target.With(catalog.TargetChange{Version: s.Version, SetAt: publishedAt})
 	}
-	return w
+	return target
 }
 
 func (a *assignments) watch() (*peers.Assignment, catalog.Target, <-chan struct{}) {
--- a/internal/stager/load.go
+++ b/internal/stager/load.go
@@ -75,9 +75,9 @@
 	return r
 }
 
-// startTransfer starts the transfer of the assigned version.
+// startTransfer starts the transfer of the version that a names.
 func (s *Stager) startTransfer(ctx context.Context, a *peers.Assignment, publishedAt time.Time) *versionTransfer {
-	const window = 2 // Copies that the origin's link can carry within the window.
+	const originCopies = 2 // Copies that the origin's link can carry within the window of the transfer.
 	copyTime := time.Second
 	if a.OriginRate > 0 {
 		copyTime = time.Duration(float64(a.VersionBytes) / a.OriginRate * float64(time.Second))
@@ -86,7 +86,7 @@
 	tctx, cancel := context.WithCancel(ctx)
 	r := &versionTransfer{model: a.Model, version: a.Version, cancel: cancel}
 	r.Transfer = &weights.Transfer{
-		Exchange: s.exchange, Artifact: artifact, Window: window * copyTime, OriginCopies: window,
+		Exchange: s.exchange, Artifact: artifact, Window: originCopies * copyTime, OriginCopies: originCopies,
 		Members: s.members, StartAt: publishedAt,
 		Prepare: func(ctx context.Context, m *weights.Manifest) { s.prepare(ctx, a.Model, a.Version, m) },
 	}
--- a/internal/stager/roll.go
+++ b/internal/stager/roll.go
@@ -30,8 +30,9 @@
 	return !supersededAt.IsZero() && left > 0 && left <= nearExpiry
 }
 
-// changeTime returns when the replica may change its version, or zero for at once: one
-// that serves nothing need not wait. It is never before the weights are on the box.
+// changeTime returns when the replica may change its version, or zero for at once: a replica
+// that serves nothing need not wait. Any other time is not before the weights are on the box,
+// or are expected there.
 func (s *Stager) changeTime(a *peers.Assignment, rep Report, target catalog.Target, next candidate) time.Time {
 	if rep.Version == 0 || rep.Version == a.Version {
 		return time.Time{}
@@ -73,8 +74,8 @@
 // the expiry of the version that the replica serves, which is within after that was
 // superseded. If weights arrive late, all replicas share the time that is left: with fixed
 // times most would be past theirs and change at the same moment. It is a pure function.
-func scheduleChange(w catalog.Target, from uint64, begin time.Time, within time.Duration, position float64) time.Time {
-	supersededAt := w.SupersededAt(from)
+func scheduleChange(target catalog.Target, from uint64, begin time.Time, within time.Duration, position float64) time.Time {
+	supersededAt := target.SupersededAt(from)
 	if supersededAt.IsZero() {
 		return time.Time{}
 	}
--- a/internal/stager/send.go
+++ b/internal/stager/send.go
@@ -140,15 +140,15 @@
 }
 
 // sendUntilLost sends statuses to one gateway until the connection is lost. Those that
-// differ only in load are sent no more often than pause. With passOn, the gateway is asked
+// differ only in load are sent no more often than pause. With forward, the gateway is asked
 // to forward them to the others.
-func (s *Stager) sendUntilLost(ctx context.Context, g peers.Member, pause time.Duration, passOn bool) {
+func (s *Stager) sendUntilLost(ctx context.Context, g peers.Member, pause time.Duration, forward bool) {
 	c, err := s.pool.Get(ctx, g.Addr)
 	if err != nil {
 		return
 	}
 	latest, changed := s.status.watch()
-	latest.Forward = passOn
+	latest.Forward = forward
 	st, err := c.Open(ctx, &latest)
 	if err != nil {
 		return
@@ -160,7 +160,7 @@
 			return
 		}
 		latest, changed = s.status.watch()
-		latest.Forward = passOn
+		latest.Forward = forward
 		if st.Send(ctx, &latest) != nil {
 			return
 		}
--- a/internal/stager/versions.go
+++ b/internal/stager/versions.go
@@ -48,10 +48,10 @@
 	completeAt    time.Time     // When the last chunk arrived; zero before.
 	completeBy    time.Time     // When it is expected to be complete; zero if not known.
 	stalled       bool          // The origin has sent no chunk of it for stalledAfter.
-	usableUntil   time.Time     // When requests may no longer start on it; zero for the newest.
+	usableUntil   time.Time     // When replicas should have changed from it; zero for the newest.
 	unsent        int           // Chunks that the origin has not sent yet; -1 if not known.
 	chunks        int           // Total number of chunks; 0 if not known.
-	previousUntil time.Time     // When requests may no longer start on the version before it.
+	previousUntil time.Time     // When replicas should have changed from the version before it.
 	perChunk      time.Duration // Time that the origin's link needs for one chunk.
 }
 
--- a/weights/choose.go
+++ b/weights/choose.go
@@ -61,9 +61,10 @@
 	return false
 }
 
-func setEarlier(t *time.Time, by time.Time) {
-	if by.Before(*t) {
-		*t = by
+// setEarlier sets t to other if that is earlier.
+func setEarlier(t *time.Time, other time.Time) {
+	if other.Before(*t) {
+		*t = other
 	}
 }
 
@@ -154,8 +155,9 @@
 	return true
 }
 
-// spareFetch returns a fetch from the origin within this box's part of the spare copies, once
-// the first copy has left the origin and no peer is available.
+// spareFetch returns a fetch from the origin within this box's part of the spare copies. It
+// returns none before the time in which the first copy should have left the origin. Next calls
+// it only if no chunk can be fetched from a peer.
 func (p *Plan) spareFetch(now time.Time) (Action, bool) {
 	if p.HoldOrigin || p.YieldOrigin || p.spareChunks == 0 || p.openAtOrigin > 0 || p.origin.down || p.origin.backoffUntil.After(now) || now.Before(p.StartAt.Add(p.OriginCopyTime)) {
 		return Action{}, false
--- a/weights/claim.go
+++ b/weights/claim.go
@@ -41,15 +41,15 @@
 }
 
 // Empty reports whether there is nothing to forward.
-func (n *Gossip) Empty() bool { return len(n.Seeded) == 0 && len(n.Claims) == 0 }
+func (g *Gossip) Empty() bool { return len(g.Seeded) == 0 && len(g.Claims) == 0 }
 
 // merge appends o.
-func (n *Gossip) merge(o Gossip) {
-	n.Seeded = append(n.Seeded, o.Seeded...)
-	n.Claims = append(n.Claims, o.Claims...)
+func (g *Gossip) merge(o Gossip) {
+	g.Seeded = append(g.Seeded, o.Seeded...)
+	g.Claims = append(g.Claims, o.Claims...)
 }
 
-// Tuning of claims.
+// Parameters of claims and of the use of the origin.
 const (
 	defaultStagger     = 450 * time.Millisecond // Between the turns of consecutive boxes in a chunk's ranking: four flushes of an Exchange and a margin.
 	claimStaggers      = 4                      // Validity of a claim, in staggers.
@@ -77,9 +77,9 @@
 
 // TakeGossip returns the gossip to forward since the last call.
 func (p *Plan) TakeGossip() Gossip {
-	n := p.gossip
+	g := p.gossip
 	p.gossip = Gossip{}
-	return n
+	return g
 }
 
 // TakeTakeovers returns how many chunks this box has claimed since the last call after the
@@ -92,28 +92,28 @@
 
 // GossipSnapshot returns the current state for a new neighbour.
 func (p *Plan) GossipSnapshot(now time.Time) Gossip {
-	var n Gossip
+	var g Gossip
 	for i, c := range p.claims {
 		switch {
 		case p.have.Has(i): // The neighbour receives it as a chunk that this box has.
 		case p.isSeeded(now, i):
-			n.Seeded = append(n.Seeded, i)
+			g.Seeded = append(g.Seeded, i)
 		case c.expiresAt.After(now):
-			n.Claims = append(n.Claims, Claim{Chunk: i, Owner: c.owner, Seq: p.lastSeq[c.owner], TTL: c.expiresAt.Sub(now)})
+			g.Claims = append(g.Claims, Claim{Chunk: i, Owner: c.owner, Seq: p.lastSeq[c.owner], TTL: c.expiresAt.Sub(now)})
 		}
 	}
-	return n
+	return g
 }
 
 // ApplyGossip applies the gossip of a neighbour. What is new to this box is forwarded.
-func (p *Plan) ApplyGossip(now time.Time, n Gossip) {
+func (p *Plan) ApplyGossip(now time.Time, g Gossip) {
 	p.heardAt = now
-	for _, i := range n.Seeded {
+	for _, i := range g.Seeded {
 		if i >= 0 && i < p.Chunks {
 			p.markSeeded(now, i)
 		}
 	}
-	for _, c := range n.Claims {
+	for _, c := range g.Claims {
 		if c.Chunk >= 0 && c.Chunk < p.Chunks && c.Owner != p.Self && c.Seq > p.lastSeq[c.Owner] {
 			p.lastSeq[c.Owner] = c.Seq
 			p.gossip.Claims = append(p.gossip.Claims, c)
--- a/weights/due.go
+++ b/weights/due.go
@@ -87,7 +87,7 @@
 			setEarlier(wake, overdue)
 		} else if overdueLimit > 0 {
 			overdueLimit--
-			slots++ // Boxes ranked first for it do not answer.
+			slots++ // The box ranked first has missed its turn; the chunk must not hold up others.
 		}
 	}
 	return out
--- a/weights/exchange.go
+++ b/weights/exchange.go
@@ -26,7 +26,7 @@
 	Pool        *wire.Pool // Connections for weights only, so that requests are never queued behind chunks.
 	Strategy    Strategy
 	UploadSlots int // Concurrent uploads; 2 by default.
-	UploadQueue int // Waiting uploads, above which requests are refused; 2 by default.
+	UploadQueue int // Maximum number of waiting uploads; further requests are refused; 2 by default.
 	Parallel    int // Concurrent fetches; 8 by default.
 	PartBytes   int // Bytes of a chunk in one message; 256 KiB by default.
 	// PreferHall fetches chunks that a box of the hall has within the hall, so that about one
@@ -175,7 +175,7 @@
 
 func (x *Exchange) serveChunk(ctx context.Context, s *wire.Stream, m *GetChunk) {
 	x.awaitManifest(ctx, m.Digest)
-	if data, ok := x.manifest(m.Digest); ok { // It is small, and all other fetches depend on it.
+	if data, ok := x.manifest(m.Digest); ok { // A manifest needs no upload slot: it is small, and all other fetches depend on it.
 		_ = x.sendParts(ctx, s, data)
 		return
 	}
@@ -281,7 +281,7 @@
 	}
 }
 
-// receiveOptions are the timeouts for receiving a chunk.
+// receiveOptions are the timeouts for receiving a chunk or manifest.
 type receiveOptions struct {
 	firstTimeout time.Duration // Until the first part.
 	nextTimeout  time.Duration // Between two parts.
@@ -291,8 +291,8 @@
 	slowAfter time.Duration
 }
 
-// receiveParts receives a chunk of at most limit bytes. It also returns the time from the
-// first part to the last.
+// receiveParts receives a chunk or manifest of at most limit bytes. It also returns the time
+// from the first part to the last.
 func receiveParts(ctx context.Context, s *wire.Stream, limit int, r receiveOptions) ([]byte, time.Duration, error) {
 	var data []byte
 	var began time.Time
--- a/weights/manifestfetch.go
+++ b/weights/manifestfetch.go
@@ -18,7 +18,7 @@
 
 // Intervals and limits of fetching a manifest.
 const (
-	manifestRetry          = 40 * time.Millisecond  // After a box that did not have the manifest.
+	manifestRetry          = 40 * time.Millisecond  // Pause before the next attempt, and between two boxes that are asked.
 	manifestTurnTime       = 250 * time.Millisecond // A box waits this long for each box ranked before it,
 	maxManifestTurns       = 8                      // counting at most this many of them,
 	manifestSeeders        = 2                      // except for this many first boxes, which ask the origin at once.
@@ -81,11 +81,11 @@
 		kernel.Sleep(ctx, time.Until(turn))
 		return nil, fault.New(fault.NotHeld, t.Artifact)
 	}
-	round := time.Now().Add(manifestRound)
-	if turn.Before(round) {
-		round = turn
+	roundEnd := time.Now().Add(manifestRound)
+	if turn.Before(roundEnd) {
+		roundEnd = turn
 	}
-	ctx, cancel := context.WithDeadline(ctx, round)
+	ctx, cancel := context.WithDeadline(ctx, roundEnd)
 	defer cancel()
 	queue := make(chan Member, len(sources))
 	for _, m := range sources {
--- a/weights/message.go
+++ b/weights/message.go
@@ -9,11 +9,11 @@
 type Join struct {
 	Artifact string // Digest of the manifest.
 	Has      Bitmap
-	Queue    int
+	Queue    int // Uploads in progress or waiting at the sender.
 }
 
-// Have lists the chunks that the sender obtained since its last message, and the gossip that
-// it received.
+// Have lists the chunks that the sender obtained since its last message, and the gossip to
+// forward since then: its own claims, and what it received from other neighbours.
 type Have struct {
 	Chunks []int
 	Queue  int // Uploads in progress or waiting at the sender.
--- a/weights/neighbour.go
+++ b/weights/neighbour.go
@@ -12,7 +12,8 @@
 // membersInterval is how often the sessions are adapted to the current members.
 const membersInterval = time.Second
 
-// keepNeighbours maintains a session with each neighbour of the strategy.
+// keepNeighbours passes changes of the members to the plan, and maintains a session with each
+// neighbour of the strategy.
 func (t *Transfer) keepNeighbours(ctx context.Context) {
 	var dialling kernel.WorkerSet[Member]
 	defer dialling.Stop()
--- a/weights/originstate.go
+++ b/weights/originstate.go
@@ -63,7 +63,8 @@
 }
 
 // originCorrupt records an answer of the origin that does not match its digest. The box
-// retries at once; after maxCorruptAnswers corrupt answers it leaves the chunk to other boxes.
+// retries at once; after every maxCorruptAnswers corrupt answers it leaves the chunk to other
+// boxes for the validity of a claim.
 func (p *Plan) originCorrupt(now time.Time, chunk int) {
 	p.originServed(now)
 	p.corruptAnswers[chunk]++
--- a/weights/parallel.go
+++ b/weights/parallel.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ObserveTransferTime adjusts the number of open fetches to the time between the first and the
+// ObserveTransferTime adjusts the limit of open fetches to the time between the first and the
 // last part of a chunk. On a link that is slower than expected this avoids a long queue, which
 // would delay other traffic.
 func (p *Plan) ObserveTransferTime(took time.Duration) {
--- a/weights/plan.go
+++ b/weights/plan.go
@@ -18,7 +18,7 @@
 // docs/design/weights.md.
 const defaultParallel = 8
 
-// Tuning of a Plan. Values in chunks are multiples of the transfer time of one chunk on a
+// Parameters of a Plan. Values in chunks are multiples of the transfer time of one chunk on a
 // box's idle link.
 const (
 	fetchesPerPeer  = 1                      // Open fetches from one peer.
--- a/weights/progress.go
+++ b/weights/progress.go
@@ -69,13 +69,13 @@
 
 // SetSingleFetch sets whether the transfer is limited to one open fetch from a peer and one
 // from the origin.
-func (t *Transfer) SetSingleFetch(few bool) {
+func (t *Transfer) SetSingleFetch(single bool) {
 	t.init()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.singleFetch = few
-	if t.plan != nil && t.plan.SingleFetch != few {
-		t.plan.SingleFetch = few
+	t.singleFetch = single
+	if t.plan != nil && t.plan.SingleFetch != single {
+		t.plan.SingleFetch = single
 		t.notify()
 	}
 }
--- a/weights/store.go
+++ b/weights/store.go
@@ -13,8 +13,8 @@
 	Limit int64 // Bytes; 0 means no limit.
 
 	mu     sync.Mutex
-	chunks map[string]*list.Element // Values are *entry, most recently used first.
-	recent list.List
+	chunks map[string]*list.Element   // Elements of recent, by digest.
+	recent list.List                  // Values are *entry, most recently used first.
 	pins   map[string]map[string]bool // Pinned digests by holder.
 	bytes  int64
 }
@@ -48,6 +48,7 @@
 	return nil
 }
 
+// evict makes room for need bytes, and reports whether there is enough. The caller holds s.mu.
 func (s *Store) evict(need int64) bool {
 	if s.Limit == 0 || s.bytes+need <= s.Limit {
 		return true
--- a/weights/strategy.go
+++ b/weights/strategy.go
@@ -18,8 +18,8 @@
 // Strategy defines from which boxes a box may fetch chunks.
 type Strategy struct {
 	Name string
-	// Neighbours returns the boxes to which self opens connections. Both ends of a connection
-	// use it.
+	// Neighbours returns the boxes to which self opens connections. A connection is used in
+	// both directions.
 	Neighbours func(self Member, members []Member) []Member
 	// OrderKey is the rendezvous key of a chunk. The box that ranks first for the key fetches
 	// the chunk from the origin. If nil, every box may use the origin.
@@ -35,11 +35,12 @@
 	dialElsewhere = 4
 )
 
-// Swarm pulls chunks from a few neighbours, rarest first. For each chunk one box fetches it
-// from the origin.
+// Swarm fetches chunks from a few neighbours, rarest first. One box fetches each chunk from
+// the origin.
 var Swarm = Strategy{Name: "swarm", Neighbours: swarmNeighbours, OrderKey: func(chunk int) string { return "chunk/" + strconv.Itoa(chunk) }, Balanced: true}
 
-// Tree arranges all boxes in one binary tree. Only its root uses the origin.
+// Tree arranges all boxes in one binary tree. Its root uses the origin; the boxes ranked after
+// it do so only if it misses its turns.
 var Tree = Strategy{Name: "tree", Neighbours: treeParent, OrderKey: func(int) string { return treeKey }}
 
 // Direct fetches every chunk from the origin on every box.
--- a/weights/transfer.go
+++ b/weights/transfer.go
@@ -13,8 +13,8 @@
 // fields, then call Run. It continues to serve after completion, until its context ends.
 type Transfer struct {
 	Exchange     *Exchange
-	Artifact     string // Digest of the manifest, or another name that FetchOrigin accepts.
-	Window       time.Duration
+	Artifact     string          // Digest of the manifest, or another name that FetchOrigin accepts.
+	Window       time.Duration   // The time in which the origin's link carries OriginCopies.
 	OriginCopies float64         // Copies that the origin's link can carry in Window.
 	SpareCopies  float64         // Copies beyond the first that may leave the origin.
 	Members      func() []Member // Returns the boxes to which the artifact is assigned, including this one.
@@ -279,7 +279,7 @@
 // end, or as soon as the transfer counts as slow.
 func (t *Transfer) receive(ctx context.Context, s *session, c Chunk) ([]byte, error) {
 	var slow sync.Once
-	learn := func(took time.Duration) {
+	observe := func(took time.Duration) {
 		slow.Do(func() {
 			t.mu.Lock()
 			defer t.mu.Unlock()
@@ -289,10 +289,10 @@
 	first, next := t.partTimeouts()
 	after := t.plan.slowAfter()
 	data, took, err := fetchFromPeer(ctx, s.conn, c.Digest, c.Size, receiveOptions{
-		firstTimeout: first, nextTimeout: next, slowAfter: after, onSlow: func() { learn(after + 1) },
+		firstTimeout: first, nextTimeout: next, slowAfter: after, onSlow: func() { observe(after + 1) },
 	})
 	if err == nil {
-		learn(took)
+		observe(took)
 	}
 	return data, err
 }
@@ -344,7 +344,8 @@
 }
 
 // spreadGossip queues new gossip for every neighbour except the one from which it was
-// received. The caller holds t.mu.
+// received. It also reports takeovers, and cancels fetches of chunks that were left to another
+// box. The caller holds t.mu.
 func (t *Transfer) spreadGossip(from string) {
 	for range t.plan.TakeTakeovers() {
 		t.Exchange.event(EventTakeover, 0)
@@ -354,13 +355,13 @@
 			cancel()
 		}
 	}
-	n := t.plan.TakeGossip()
-	if n.Empty() {
+	g := t.plan.TakeGossip()
+	if g.Empty() {
 		return
 	}
 	for name, s := range t.sessions {
 		if name != from {
-			s.gossip.merge(n)
+			s.gossip.merge(g)
 			s.notify()
 		}
 	}
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -212,7 +212,7 @@
 func readFrame(r io.Reader, maxBody int) (frame, error) {
 	var h [headerSize]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
-		return frame{}, readError(err)
+		return frame{}, ioError(err)
 	}
 	n := int(binary.BigEndian.Uint32(h[:4]))
 	if n > maxBody {
@@ -220,12 +220,13 @@
 	}
 	f := frame{kind: Kind(h[4]), stream: binary.BigEndian.Uint64(h[5:]), body: make([]byte, n)}
 	if _, err := io.ReadFull(r, f.body); err != nil {
-		return frame{}, readError(err)
+		return frame{}, ioError(err)
 	}
 	return f, nil
 }
 
-func readError(err error) error {
+// ioError returns the typed error for a failed read or write of the connection.
+func ioError(err error) error {
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
 		return fault.Wrap(fault.LinkStalled, err, "read")
 	}
@@ -315,7 +316,7 @@
 		_ = c.nc.SetWriteDeadline(time.Now().Add(c.stallTimeout()))
 		c.opts.OnTraffic(headerSize+len(f.body), 0)
 		if _, err := w.Write(appendFrame(make([]byte, 0, headerSize+len(f.body)), f)); err != nil {
-			return readError(err)
+			return ioError(err)
 		}
 		select {
 		case f = <-c.out:
@@ -323,7 +324,7 @@
 		default:
 		}
 		if err := w.Flush(); err != nil {
-			return readError(err)
+			return ioError(err)
 		}
 		return nil
 	}
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -27,7 +27,7 @@
 	case h.Magic != magic:
 		return fault.New(fault.Garbage, "not a poststand peer")
 	case h.Protocol < Protocol:
-		return fault.New(fault.OldProtocol, fmt.Sprintf("peer speaks protocol %d, need %d", h.Protocol, Protocol))
+		return fault.New(fault.OldProtocol, fmt.Sprintf("peer has protocol version %d, need at least %d", h.Protocol, Protocol))
 	case h.Cluster != local.Cluster:
 		return fault.New(fault.OtherCluster, h.Cluster)
 	}
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -112,8 +112,8 @@
 	return defaultRedialDelay
 }
 
-// dial has its own deadline, independent of one caller's context, since others wait for the
-// same result.
+// dial connects to addr with its own deadline, independent of one caller's context, since others
+// wait for the same result.
 func (p *Pool) dial(addr string) (*Conn, error) {
 	const dialTimeout = 2 * time.Second
 	lifetime := p.Lifetime
